--- a/internal/serving/gateway/counts.go
+++ b/internal/serving/gateway/counts.go
@@ -43,7 +43,7 @@
 	n.(*atomic.Int64).Add(1) //nolint:forcetypeassert // The map holds nothing else.
 }
 
-func (c *Counts) all(shares *limit.Shares, waiting map[string]int) []peer.PlanCount {
+func (c *Counts) planCounts(shares *limit.Shares, waiting map[string]int) []peer.PlanCount {
 	var out []peer.PlanCount
 
 	c.plans.Range(func(key, value any) bool {
--- a/internal/serving/gateway/gateway.go
+++ b/internal/serving/gateway/gateway.go
@@ -51,11 +51,11 @@
 	counts Counts
 	// running maps a running request's engine id to its *admission.
 	running sync.Map
-	calls   calls
+	callCounts   callCounts
 }
 
-// admission is one admitted request.
-type admission struct {
+// runningRequest is one admitted request.
+type runningRequest struct {
 	plan   plan.Plan
 	model  string
 	cancel context.CancelCauseFunc
@@ -82,7 +82,7 @@
 
 // Counts returns what was counted per plan.
 func (g *Gateway) Counts() []peer.PlanCount {
-	return g.counts.all(g.cfg.Shares, g.cfg.Dispatch.Waiting())
+	return g.counts.planCounts(g.cfg.Shares, g.cfg.Dispatch.Waiting())
 }
 
 const (
@@ -125,7 +125,7 @@
 
 	c.plan = p
 
-	timeout, err := timeoutOf(r, p.RequestTimeout)
+	timeout, err := parseTimeout(r, p.RequestTimeout)
 	if err != nil {
 		g.refuse(c, request.Refuse(request.BadRequest, 0, err.Error()))
 
@@ -161,7 +161,7 @@
 	return fmt.Sprintf("%s: %q is not a number of milliseconds from 1 to %d", timeoutHeader, e.Text, maxTimeout.Milliseconds())
 }
 
-func timeoutOf(r *http.Request, fallback time.Duration) (time.Duration, error) {
+func parseTimeout(r *http.Request, fallback time.Duration) (time.Duration, error) {
 	text := r.Header.Get(timeoutHeader)
 	if text == "" {
 		return fallback, nil
@@ -219,11 +219,11 @@
 	return ok
 }
 
-// hold registers the running request, so that a change of the lists can end
+// track registers the running request, so that a change of the lists can end
 // it.
-func (g *Gateway) hold(c *call, id, model string) (context.Context, func()) {
+func (g *Gateway) track(c *call, id, model string) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(c.r.Context())
-	g.running.Store(id, &admission{plan: c.plan, model: model, cancel: cancel})
+	g.running.Store(id, &runningRequest{plan: c.plan, model: model, cancel: cancel})
 
 	return ctx, func() {
 		g.running.Delete(id)
@@ -249,7 +249,7 @@
 	})
 
 	g.running.Range(func(_, value any) bool {
-		a, _ := value.(*admission)
+		a, _ := value.(*runningRequest)
 		if _, ok := lists.Plan(a.plan.Name); !ok && a.plan.OnRemoval == plan.CancelRunning {
 			a.cancel(request.Refuse(request.PlanRemoved, 0, "the plan was removed from the list"))
 		}
--- a/internal/serving/gateway/generate.go
+++ b/internal/serving/gateway/generate.go
@@ -84,7 +84,7 @@
 	}
 	g.cfg.Log.Add(timeline.Event{Kind: timeline.Admitted, Request: c.id, Model: msg.Model, Customer: c.plan.Customer})
 
-	ctx, release := g.hold(c, req.EngineID, msg.Model)
+	ctx, release := g.track(c, req.EngineID, msg.Model)
 	defer release()
 
 	answer := &caller.Answer{ID: "cmpl-" + req.EngineID, Model: msg.Model, Created: c.arrived, Chat: msg.Chat}
@@ -168,8 +168,8 @@
 
 func (o *wholeResponder) refuseLate(*request.Refusal) bool { return false }
 
-// slowReader is how long a caller may take to read one token.
-const slowReader = 10 * time.Second
+// eventWriteTimeout is how long a caller may take to read one token.
+const eventWriteTimeout = 10 * time.Second
 
 // streamResponder writes each token as a server-sent event.
 type streamResponder struct {
@@ -177,12 +177,12 @@
 	answer  *caller.Answer
 	control *http.ResponseController
 	buf     []byte
-	begun   bool
+	started   bool
 }
 
 // Token implements dispatch.Sink.
 func (o *streamResponder) Token(text string) error {
-	first := !o.begun
+	first := !o.started
 	if first {
 		o.start()
 	}
@@ -193,14 +193,14 @@
 }
 
 func (o *streamResponder) start() {
-	o.begun = true
+	o.started = true
 	h := o.c.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
 }
 
 func (o *streamResponder) write() error {
-	if err := o.control.SetWriteDeadline(time.Now().Add(slowReader)); err != nil {
+	if err := o.control.SetWriteDeadline(time.Now().Add(eventWriteTimeout)); err != nil {
 		return err
 	}
 
@@ -212,7 +212,7 @@
 }
 
 func (o *streamResponder) finish(dispatch.Result) error {
-	if !o.begun {
+	if !o.started {
 		o.start()
 	}
 
@@ -224,7 +224,7 @@
 // refuseLate ends the stream with the refusal in place of the end mark, so
 // that a cut answer cannot be taken for a whole one.
 func (o *streamResponder) refuseLate(r *request.Refusal) bool {
-	if !o.begun {
+	if !o.started {
 		return false
 	}
 
--- a/internal/serving/gateway/service.go
+++ b/internal/serving/gateway/service.go
@@ -22,17 +22,17 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/request"
 )
 
-// calls counts the calls on each service target.
-type calls struct{ running sync.Map }
+// callCounts counts the callCounts on each service target.
+type callCounts struct{ running sync.Map }
 
-func (c *calls) of(id instance.ID) *atomic.Int64 {
+func (c *callCounts) of(id instance.ID) *atomic.Int64 {
 	n, _ := c.running.LoadOrStore(id, &atomic.Int64{})
 
 	return n.(*atomic.Int64) //nolint:forcetypeassert // The map holds nothing else.
 }
 
 // choose returns the less busy of two random live targets.
-func (c *calls) choose(targets []instance.Instance) instance.Instance {
+func (c *callCounts) choose(targets []instance.Instance) instance.Instance {
 	a := targets[rand.IntN(len(targets))] //nolint:gosec // No secret.
 	b := targets[rand.IntN(len(targets))] //nolint:gosec // No secret.
 
@@ -71,7 +71,7 @@
 	}
 
 	key := r.Header.Get(keyHeader)
-	if key == "" && !repeatable(r.Method) {
+	if key == "" && !retryable(r.Method) {
 		g.refuse(c, request.Refuse(request.KeyMissing, 0, "a call that may not be repeated needs the header "+keyHeader))
 
 		return
@@ -84,22 +84,22 @@
 
 	defer g.cfg.Shares.Of(c.plan.Name).Done(0)
 
-	ctx, release := g.hold(c, uuid.NewString(), "")
+	ctx, release := g.track(c, uuid.NewString(), "")
 	defer release()
 
 	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
 
-	if repeatable(r.Method) {
-		g.callRepeatable(ctx, s)
+	if retryable(r.Method) {
+		g.callWithRetries(ctx, s)
 	} else {
 		g.callOnce(ctx, s, key)
 	}
 }
 
-// repeatable reports whether a call with this method may be sent again. The
+// retryable reports whether a call with this method may be sent again. The
 // methods are those that HTTP calls safe.
-func repeatable(method string) bool {
+func retryable(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
 		return true
@@ -108,13 +108,13 @@
 	return false
 }
 
-// maxServiceSends bounds how often a repeatable call is sent.
-const maxServiceSends = 3
+// maxServiceAttempts bounds how often a repeatable call is sent.
+const maxServiceAttempts = 3
 
-func (g *Gateway) callRepeatable(ctx context.Context, s *serviceCall) {
+func (g *Gateway) callWithRetries(ctx context.Context, s *serviceCall) {
 	var last error
 
-	for range maxServiceSends {
+	for range maxServiceAttempts {
 		a, err := g.send(ctx, s)
 		if err == nil {
 			g.writeAnswer(s, a)
@@ -173,7 +173,7 @@
 				return
 			}
 
-			if !pause(ctx, try) {
+			if !waitForClaim(ctx, try) {
 				if !errors.Is(ctx.Err(), context.Canceled) {
 					g.refuse(s.call, inDoubt(time.Second))
 				}
@@ -200,9 +200,9 @@
 	}
 }
 
-// pause waits before a pending claim is looked at again, longer each time. It
+// waitForClaim waits before a pending claim is looked at again, longer each time. It
 // reports false when the call's time is up.
-func pause(ctx context.Context, try int) bool {
+func waitForClaim(ctx context.Context, try int) bool {
 	const base, most = 25 * time.Millisecond, 5
 
 	return clock.Sleep(ctx, base<<min(try, most)) == nil
@@ -222,7 +222,7 @@
 		last error = &noTargetError{s.service}
 	)
 
-	for range maxServiceSends {
+	for range maxServiceAttempts {
 		if ctx.Err() != nil {
 			break
 		}
@@ -269,15 +269,15 @@
 	select {
 	case err := <-done:
 		return err
-	case <-time.After(storeGrace):
+	case <-time.After(storeWait):
 		return nil
 	}
 }
 
-// storeGrace is how long a caller waits for its answer to be stored. If the
+// storeWait is how long a caller waits for its answer to be stored. If the
 // store is away for longer, the caller gets the answer and the storing goes
 // on; a repeat then waits or learns that the call may have run.
-const storeGrace = 500 * time.Millisecond
+const storeWait = 500 * time.Millisecond
 
 func (g *Gateway) storeThenWrite(
 	ctx context.Context, cancel context.CancelFunc, s *serviceCall, c *claim.Claim, a claim.Answer,
@@ -295,7 +295,7 @@
 
 	select {
 	case <-done:
-	case <-time.After(storeGrace):
+	case <-time.After(storeWait):
 	}
 
 	g.writeAnswer(s, a)
@@ -333,8 +333,8 @@
 		return claim.Answer{}, &noTargetError{s.service}
 	}
 
-	t := g.calls.choose(targets)
-	n := g.calls.of(t.ID)
+	t := g.callCounts.choose(targets)
+	n := g.callCounts.of(t.ID)
 
 	n.Add(1)
 	defer n.Add(-1)
--- a/internal/serving/relay/budget.go
+++ b/internal/serving/relay/budget.go
@@ -14,9 +14,9 @@
 	Window time.Duration
 }
 
-// safety is the part of the allowance that is used. The rest covers requests
+// usableShare is the part of the allowance that is used. The rest covers requests
 // that are counted on one side of a window's edge and repeated on the other.
-const safety = 0.85
+const usableShare = 0.85
 
 // Budgets holds a budget for each service. Set Allowance before use.
 //
@@ -32,13 +32,13 @@
 
 	mu     sync.Mutex
 	share  float64
-	levels map[string]*level
+	buckets map[string]*bucket
 }
 
-// level is a bucket of sendings.
-type level struct {
-	left float64
-	at   time.Time
+// bucket is a bucket of sendings.
+type bucket struct {
+	tokens float64
+	updated   time.Time
 }
 
 // Allow replaces the allowance, because the settings changed.
@@ -57,60 +57,60 @@
 	b.share = 1 / float64(max(1, entries))
 }
 
-// Earn counts a first sending to a service.
-func (b *Budgets) Earn(service string, now time.Time) {
+// Deposit counts a first sending to a service.
+func (b *Budgets) Deposit(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	l := b.level(service, now)
-	l.left = min(l.left+b.Allowance.Ratio*safety, b.most())
+	l := b.bucket(service, now)
+	l.tokens = min(l.tokens+b.Allowance.Ratio*usableShare, b.capacity())
 }
 
-// Take takes one more sending to a service, if it is allowed.
-func (b *Budgets) Take(service string, now time.Time) bool {
+// TryWithdraw takes one more sending to a service, if it is allowed.
+func (b *Budgets) TryWithdraw(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	l := b.level(service, now)
-	if l.left < 1 {
+	l := b.bucket(service, now)
+	if l.tokens < 1 {
 		return false
 	}
 
-	l.left--
+	l.tokens--
 
 	return true
 }
 
-// half is half of this entry's share of the burst. A bucket holds that much, and
+// halfBurst is halfBurst of this entry's share of the burst. A bucket holds that much, and
 // as much flows in over a window, so that no window sees more than all.
-func (b *Budgets) half() float64 { return b.Allowance.Burst * safety * b.share / 2 } //nolint:mnd // Halves.
+func (b *Budgets) halfBurst() float64 { return b.Allowance.Burst * usableShare * b.share / 2 } //nolint:mnd // Halves.
 
-// most is what a bucket holds; with less than one sending it would never allow
+// capacity is what a bucket holds; with less than one sending it would never allow
 // any.
-func (b *Budgets) most() float64 { return max(1, b.half()) }
+func (b *Budgets) capacity() float64 { return max(1, b.halfBurst()) }
 
-// level returns the service's bucket with what has flowed in since its last
+// bucket returns the service's bucket with what has flowed in since its last
 // use.
-func (b *Budgets) level(service string, now time.Time) *level {
-	if b.levels == nil {
-		b.levels = make(map[string]*level)
+func (b *Budgets) bucket(service string, now time.Time) *bucket {
+	if b.buckets == nil {
+		b.buckets = make(map[string]*bucket)
 	}
 
-	l := b.levels[service]
+	l := b.buckets[service]
 	if l == nil {
-		l = &level{left: b.most(), at: now}
+		l = &bucket{tokens: b.capacity(), updated: now}
 		if !b.Started.IsZero() {
-			l.left, l.at = 0, b.Started
+			l.tokens, l.updated = 0, b.Started
 		}
 
-		b.levels[service] = l
+		b.buckets[service] = l
 	}
 
 	if b.Allowance.Window > 0 {
-		l.left = min(l.left+b.half()*float64(now.Sub(l.at))/float64(b.Allowance.Window), b.most())
+		l.tokens = min(l.tokens+b.halfBurst()*float64(now.Sub(l.updated))/float64(b.Allowance.Window), b.capacity())
 	}
 
-	l.at = now
+	l.updated = now
 
 	return l
 }
--- a/internal/serving/relay/budget_test.go
+++ b/internal/serving/relay/budget_test.go
@@ -41,11 +41,11 @@
 				b.Share(entries)
 			}
 
-			b.Earn("s", now)
+			b.Deposit("s", now)
 
 			requests = append(requests, now)
 
-			for b.Take("s", now) {
+			for b.TryWithdraw("s", now) {
 				repeats = append(repeats, now)
 			}
 		}
--- a/internal/serving/relay/caller.go
+++ b/internal/serving/relay/caller.go
@@ -9,28 +9,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// callerKey is the key of a caller's connection in a request's context.
-type callerKey struct{}
+// connKey is the key of a caller's connection in a request's context.
+type connKey struct{}
 
 // WithCaller keeps a caller's connection for Server; it is the ConnContext of
 // the http.Server in front of it.
 func WithCaller(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, callerKey{}, c)
+	return context.WithValue(ctx, connKey{}, c)
 }
 
-// lookForCaller is the time between two looks whether a caller is still there.
+// closeCheckInterval is the time between two looks whether a caller is still there.
 // Targets must have stopped half a second after it left.
-const lookForCaller = 200 * time.Millisecond
+const closeCheckInterval = 200 * time.Millisecond
 
-// watchCaller calls leave when the caller has closed its connection, until ctx
+// watchClose calls leave when the caller has closed its connection, until ctx
 // has ended and the function that it returns was called.
 //
 // It guards against a caller that closes behind bytes that nobody has read,
 // such as a further request: the HTTP server stops reading at them and does not
 // see the close, so that targets would work on until the request's deadline.
 // The connection's state tells of the close whatever is unread.
-func watchCaller(ctx context.Context, leave func()) (end func()) {
-	c, ok := ctx.Value(callerKey{}).(syscall.Conn)
+func watchClose(ctx context.Context, leave func()) (end func()) {
+	c, ok := ctx.Value(connKey{}).(syscall.Conn)
 	if !ok {
 		return func() {}
 	}
@@ -44,10 +44,10 @@
 	var t *time.Timer
 
 	ready := make(chan struct{})
-	t = time.AfterFunc(lookForCaller, func() {
+	t = time.AfterFunc(closeCheckInterval, func() {
 		<-ready
 
-		if closed(raw) {
+		if remoteClosed(raw) {
 			leave()
 
 			return
@@ -55,7 +55,7 @@
 
 		// A look that ran while the watch was ended must not begin it again.
 		if ctx.Err() == nil {
-			t.Reset(lookForCaller)
+			t.Reset(closeCheckInterval)
 		}
 	})
 
@@ -71,8 +71,8 @@
 	tcpCloseWait = 8
 )
 
-// closed reports whether the other end has closed or reset the connection.
-func closed(raw syscall.RawConn) bool {
+// remoteClosed reports whether the other end has remoteClosed or reset the connection.
+func remoteClosed(raw syscall.RawConn) bool {
 	var (
 		info *unix.TCPInfo
 		err  error
--- a/internal/serving/relay/caller_test.go
+++ b/internal/serving/relay/caller_test.go
@@ -23,7 +23,7 @@
 // still be left within half a second, not at the deadline.
 func TestCallerLeavesBehindBytes(t *testing.T) {
 	asked, left := make(chan struct{}), make(chan struct{})
-	w := newWorld(t, func(_ int, _ call, _ io.Writer, c net.Conn) {
+	w := newFixture(t, func(_ int, _ call, _ io.Writer, c net.Conn) {
 		close(asked)
 
 		_, _ = io.Copy(io.Discard, c) // It returns when the entry closes.
@@ -59,25 +59,25 @@
 	}
 }
 
-// slowLook is a caller's connection whose state takes a while to be read.
-type slowLook struct {
+// slowConn is a caller's connection whose state takes a while to be read.
+type slowConn struct {
 	net.Conn
 
 	looks *atomic.Int64
 }
 
-func (s slowLook) SyscallConn() (syscall.RawConn, error) { return rawLook{looks: s.looks}, nil }
+func (s slowConn) SyscallConn() (syscall.RawConn, error) { return slowRawConn{looks: s.looks}, nil }
 
-// rawLook is its raw side.
-type rawLook struct {
+// slowRawConn is its raw side.
+type slowRawConn struct {
 	syscall.RawConn
 
 	looks *atomic.Int64
 }
 
-func (r rawLook) Control(func(uintptr)) error {
+func (r slowRawConn) Control(func(uintptr)) error {
 	r.looks.Add(1)
-	time.Sleep(lookForCaller / 2)
+	time.Sleep(closeCheckInterval / 2)
 
 	return net.ErrClosed
 }
@@ -89,10 +89,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		var looks atomic.Int64
 
-		ctx, cancel := context.WithCancel(WithCaller(t.Context(), slowLook{looks: &looks}))
-		end := watchCaller(ctx, func() { t.Error("the caller is still there") })
+		ctx, cancel := context.WithCancel(WithCaller(t.Context(), slowConn{looks: &looks}))
+		end := watchClose(ctx, func() { t.Error("the caller is still there") })
 
-		time.Sleep(lookForCaller + lookForCaller/4) // In the middle of the first look.
+		time.Sleep(closeCheckInterval + closeCheckInterval/4) // In the middle of the first look.
 		end()
 		cancel()
 		time.Sleep(time.Minute)
--- a/internal/serving/relay/conn.go
+++ b/internal/serving/relay/conn.go
@@ -19,19 +19,19 @@
 	// centres are a millisecond apart, and a lost first packet is sent again
 	// after a second.
 	dialTimeout = 1100 * time.Millisecond
-	// idleMost is how long an idle connection is kept when the target does
+	// maxIdleTime is how long an idle connection is kept when the target does
 	// not say, and idleMargin how long before the target's own time it is
 	// dropped, so that a request does not cross the target's close.
-	idleMost   = 2 * time.Second
+	maxIdleTime   = 2 * time.Second
 	idleMargin = 500 * time.Millisecond
-	// maxHead bounds the bytes of an answer's head.
-	maxHead = 64 << 10
-	// maxIdle bounds the idle connections to one target.
-	maxIdle = 8
+	// maxHeadBytes bounds the bytes of an answer's head.
+	maxHeadBytes = 64 << 10
+	// maxIdleConns bounds the idle connections to one target.
+	maxIdleConns = 8
 )
 
-// peerKey names a target's process at an address.
-type peerKey struct {
+// targetKey names a target's process at an address.
+type targetKey struct {
 	id      instance.ID
 	address netip.AddrPort
 }
@@ -40,14 +40,14 @@
 type conn struct {
 	net.Conn
 
-	key peerKey
+	key targetKey
 	// head bounds what is read of an answer's head.
 	head  *io.LimitedReader
 	r     *bufio.Reader
 	w     *bufio.Writer
 	uses  int
-	since time.Time
-	keep  time.Duration
+	idleSince time.Time
+	idleTimeout  time.Duration
 }
 
 // Pool keeps idle connections to targets. The zero value dials plain TCP.
@@ -56,15 +56,15 @@
 	Dial func(ctx context.Context, address netip.AddrPort) (net.Conn, error)
 
 	mu   sync.Mutex
-	idle map[peerKey][]*conn
+	idle map[targetKey][]*conn
 }
 
 // get returns an idle connection, or a new one. A request that may not be
 // repeated asks for a new one, because an answer to an earlier request may
 // still be on its way on any other.
-func (p *Pool) get(ctx context.Context, key peerKey, fresh bool) (*conn, error) {
+func (p *Pool) get(ctx context.Context, key targetKey, fresh bool) (*conn, error) {
 	for !fresh {
-		c := p.take(key)
+		c := p.takeIdle(key)
 		if c == nil {
 			break
 		}
@@ -95,7 +95,7 @@
 	return c, nil
 }
 
-func (p *Pool) take(key peerKey) *conn {
+func (p *Pool) takeIdle(key targetKey) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -112,22 +112,22 @@
 
 // put keeps a connection on which the last answer was read to its end.
 func (p *Pool) put(c *conn, keep time.Duration) {
-	c.since, c.keep = time.Now(), idleMost
+	c.idleSince, c.idleTimeout = time.Now(), maxIdleTime
 	if keep > 0 {
-		c.keep = min(idleMost, keep-idleMargin)
+		c.idleTimeout = min(maxIdleTime, keep-idleMargin)
 	}
 
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	if c.r.Buffered() > 0 || c.keep <= 0 || len(p.idle[c.key]) >= maxIdle {
+	if c.r.Buffered() > 0 || c.idleTimeout <= 0 || len(p.idle[c.key]) >= maxIdleConns {
 		c.Close()
 
 		return
 	}
 
 	if p.idle == nil {
-		p.idle = make(map[peerKey][]*conn)
+		p.idle = make(map[targetKey][]*conn)
 	}
 
 	p.idle[c.key] = append(p.idle[c.key], c)
@@ -142,7 +142,7 @@
 		kept := list[:0]
 
 		for _, c := range list {
-			if now.Sub(c.since) < c.keep {
+			if now.Sub(c.idleSince) < c.idleTimeout {
 				kept = append(kept, c)
 			} else {
 				c.Close()
@@ -158,7 +158,7 @@
 // usable reports whether nothing has come in on an idle connection: neither
 // its end nor bytes, which would be taken for the answer to the next request.
 func (c *conn) usable(now time.Time) bool {
-	if now.Sub(c.since) >= c.keep {
+	if now.Sub(c.idleSince) >= c.idleTimeout {
 		return false
 	}
 
@@ -186,10 +186,10 @@
 }
 
 const (
-	// keepAliveEvery and keepAliveCount bound the life of a connection that
+	// keepAliveInterval and keepAliveCount bound the life of a connection that
 	// went silent: the other end is asked after a second and given up after
 	// two more.
-	keepAliveEvery = time.Second
+	keepAliveInterval = time.Second
 	keepAliveCount = 2
 	// userTimeout bounds how long sent bytes may stay unacknowledged.
 	userTimeout = 3 * time.Second
@@ -200,7 +200,7 @@
 // KeepAlive is how silent connections are found on all connections of a
 // process.
 func KeepAlive() net.KeepAliveConfig {
-	return net.KeepAliveConfig{Enable: true, Idle: keepAliveEvery, Interval: keepAliveEvery, Count: keepAliveCount}
+	return net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveCount}
 }
 
 // Control bounds how long bytes may stay unacknowledged on a socket.
--- a/internal/serving/relay/deliver.go
+++ b/internal/serving/relay/deliver.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	// maxSends bounds how often one request is sent, whatever the budget says.
-	maxSends = 8
-	// sendAgain is the pause after a target said that it did not run a
+	// maxAttempts bounds how often one request is sent, whatever the budget says.
+	maxAttempts = 8
+	// rejectionBackoff is the pause after a target said that it did not run a
 	// request, doubled each time: a load that ends later than foretold is late
 	// by a tenth of a second or two.
-	sendAgain = 60 * time.Millisecond
-	// maxBody bounds an answer that is held until it is whole.
-	maxBody = 16 << 20
+	rejectionBackoff = 60 * time.Millisecond
+	// maxAnswerBytes bounds an answer that is held until it is whole.
+	maxAnswerBytes = 16 << 20
 )
 
 // RejectedError says that a target did not run the request.
@@ -81,69 +81,69 @@
 			err = errors.Join(ctx.Err(), err)
 		}
 
-		d.Log.Info().Str("id", d.ask.ID).Str("target", string(t.ID)).Int("send", d.trail.Sends()).Err(err).Msg("attempt failed")
+		d.Log.Info().Str("id", d.info.ID).Str("target", string(t.ID)).Int("send", d.trail.Sends()).Err(err).Msg("attempt failed")
 
-		if !d.mayGoOn(ctx, err) {
+		if !d.mayRetry(ctx, err) {
 			return err
 		}
 
 		d.exclude = append(d.exclude[:0], t.ID)
 
-		if again := d.backOff(ctx, err); again != nil {
+		if again := d.awaitRetry(ctx, err); again != nil {
 			return errors.Join(again, err)
 		}
 	}
 }
 
 func (d *delivery) acquire(ctx context.Context) (*router.Target, error) {
-	if d.in(Ending) && !d.begun && d.route.Kind == route.Stream {
-		return nil, stopping()
+	if d.reached(Ending) && !d.headSent && d.route.Kind == route.Stream {
+		return nil, stoppingRefusal()
 	}
 
 	q := router.Query{Suspect: d.suspect, Exclude: d.exclude}
-	if d.ask.Shared != "" {
-		q.Affinity = d.req.Model + " " + d.ask.Shared
+	if d.info.Shared != "" {
+		q.Affinity = d.req.Model + " " + d.info.Shared
 	}
 
 	asked := time.Now()
-	late := time.AfterFunc(noteWait, func() { d.noteWaits() })
+	late := time.AfterFunc(waitLogDelay, func() { d.logWaiting() })
 	t, cold, err := d.Lines.Acquire(ctx, d.req, q)
 
 	late.Stop()
 
-	d.cold = d.cold || cold
+	d.coldStart = d.coldStart || cold
 	d.waited += time.Since(asked)
 
 	if err == nil {
-		d.noteChoice(t)
+		d.logChoice(t)
 	}
 
 	return t, err
 }
 
-// noteWait is how long a request has no target before a line says so: most
+// waitLogDelay is how long a request has no target before a line says so: most
 // have one at once, and the line that ends a request tells of short waits.
-const noteWait = 50 * time.Millisecond
+const waitLogDelay = 50 * time.Millisecond
 
-// noteWaits says that a request waits, and what the targets that hold its
+// logWaiting says that a request waits, and what the targets that hold its
 // model cannot take it for.
-func (d *delivery) noteWaits() {
+func (d *delivery) logWaiting() {
 	s := d.Lines.Standing(d.req.Model)
-	d.Log.Info().Str("id", d.ask.ID).Str("key", d.req.Model).Int("holders", s.Holders).Int("full", s.Full).
+	d.Log.Info().Str("id", d.info.ID).Str("key", d.req.Model).Int("holders", s.Holders).Int("full", s.Full).
 		Int("leaving", s.Leaving).Int("dead", s.Dead).Int("ejected", s.Ejected).Msg("request waits")
 }
 
-// noteChoice says which target was chosen, and by what.
-func (d *delivery) noteChoice(t *router.Target) {
+// logChoice says which target was chosen, and by what.
+func (d *delivery) logChoice(t *router.Target) {
 	info := t.Info()
-	d.Log.Info().Str("id", d.ask.ID).Str("key", d.req.Model).Str("target", string(t.ID)).Int("own", t.Own()).
+	d.Log.Info().Str("id", d.info.ID).Str("key", d.req.Model).Str("target", string(t.ID)).Int("own", t.Own()).
 		Int("running", info.Running).Int("slots", info.Slots).Dur("age", t.ReportAge(time.Now())).Msg("target chosen")
 }
 
-// mayGoOn reports whether the request may be sent once more after err.
-func (d *delivery) mayGoOn(ctx context.Context, err error) bool {
+// mayRetry reports whether the request may be sent once more after err.
+func (d *delivery) mayRetry(ctx context.Context, err error) bool {
 	var caller *callerError
-	if errors.As(err, &caller) || ctx.Err() != nil || d.trail.Sends() >= maxSends || d.in(Ending) && !d.begun {
+	if errors.As(err, &caller) || ctx.Err() != nil || d.trail.Sends() >= maxAttempts || d.reached(Ending) && !d.headSent {
 		return false
 	}
 
@@ -152,16 +152,16 @@
 		return false
 	}
 
-	if notRun(err) {
+	if provedNotRun(err) {
 		return true
 	}
 
-	return d.route.Repeatable() && d.ran < d.route.Attempts
+	return d.route.Repeatable() && d.runs < d.route.Attempts
 }
 
-// notRun reports whether the error proves that the target did not run the
+// provedNotRun reports whether the error proves that the target did not run the
 // request.
-func notRun(err error) bool {
+func provedNotRun(err error) bool {
 	var (
 		dial     *DialError
 		rejected *RejectedError
@@ -170,16 +170,16 @@
 	return errors.As(err, &dial) || errors.As(err, &rejected)
 }
 
-// OverBudgetError says that a request may not be sent once more.
-type OverBudgetError struct{ Service string }
+// RetryBudgetError says that a request may not be sent once more.
+type RetryBudgetError struct{ Service string }
 
-func (e *OverBudgetError) Error() string { return "no repeat left for service " + e.Service }
+func (e *RetryBudgetError) Error() string { return "no repeat left for service " + e.Service }
 
-// backOff waits until the request may be sent once more. One that did not reach
+// awaitRetry waits until the request may be sent once more. One that did not reach
 // its target takes no share of the repeats, which bound what arrives at targets.
 // One that was rejected gives its target a moment, and waits for its share as
 // long as it may wait in line; for any other the share must be there now.
-func (d *delivery) backOff(ctx context.Context, err error) error {
+func (d *delivery) awaitRetry(ctx context.Context, err error) error {
 	var (
 		dial     *DialError
 		rejected *RejectedError
@@ -189,27 +189,27 @@
 	case errors.As(err, &dial):
 		return nil
 	case !errors.As(err, &rejected):
-		if d.paid.Swap(false) || d.Budgets.Take(d.service, time.Now()) {
+		if d.retryReserved.Swap(false) || d.Budgets.TryWithdraw(d.service, time.Now()) {
 			return nil
 		}
 
-		return &OverBudgetError{Service: d.service}
+		return &RetryBudgetError{Service: d.service}
 	}
 
-	if err := clock.Sleep(ctx, sendAgain<<min(d.trail.Sends()-1, 3)); err != nil { //nolint:mnd // At most eightfold.
+	if err := clock.Sleep(ctx, rejectionBackoff<<min(d.trail.Sends()-1, 3)); err != nil { //nolint:mnd // At most eightfold.
 		return err
 	}
 
-	for !d.Budgets.Take(d.service, time.Now()) {
-		if d.in(Ending) && !d.begun {
-			return stopping()
+	for !d.Budgets.TryWithdraw(d.service, time.Now()) {
+		if d.reached(Ending) && !d.headSent {
+			return stoppingRefusal()
 		}
 
-		if !time.Now().Add(budgetPause).Before(d.req.Deadline) {
-			return &OverBudgetError{Service: d.service}
+		if !time.Now().Add(budgetPollInterval).Before(d.req.Deadline) {
+			return &RetryBudgetError{Service: d.service}
 		}
 
-		if err := clock.Sleep(ctx, budgetPause); err != nil {
+		if err := clock.Sleep(ctx, budgetPollInterval); err != nil {
 			return err
 		}
 	}
@@ -217,10 +217,10 @@
 	return nil
 }
 
-// budgetPause is how often a rejected request asks for its share of the
+// budgetPollInterval is how often a rejected request asks for its share of the
 // repeats: an entry's share of the burst flows back at about one in three
 // seconds, and its requests earn more.
-const budgetPause = 250 * time.Millisecond
+const budgetPollInterval = 250 * time.Millisecond
 
 // attempt sends the request to the target and passes its answer on.
 func (d *delivery) attempt(ctx context.Context, t *router.Target) error {
@@ -228,72 +228,72 @@
 	sent := time.Now()
 
 	if n == 0 {
-		d.Budgets.Earn(d.service, sent)
+		d.Budgets.Deposit(d.service, sent)
 	}
 
-	last := d.last
+	last := d.lastEvent
 	if last == "" {
-		last = d.ask.After
+		last = d.info.After
 	}
 
 	out := &outgoing{
-		method: d.r.Method, uri: d.r.RequestURI, host: d.r.Host, id: d.ask.ID,
+		method: d.r.Method, uri: d.r.RequestURI, host: d.r.Host, id: d.info.ID,
 		header: d.Protocol.Outgoing(d.r.Header, Sending{
-			Left: d.deadline.Sub(sent), Target: t.ID, After: last, Ranked: d.ranked, Priority: d.priority(),
-			Keyed: d.keyed, Team: d.teamName(),
+			Left: d.deadline.Sub(sent), Target: t.ID, After: last, Ranked: d.prioritised, Priority: d.priority(),
+			Keyed: d.keysInUse, Team: d.teamName(),
 		}),
-		body: d.body, hasBody: d.r.ContentLength != 0, fresh: !d.route.Repeatable(),
+		body: d.body, hasBody: d.r.ContentLength != 0, newConn: !d.route.Repeatable(),
 	}
 
 	a, err := d.Pool.exchange(ctx, t, out, d.Protocol)
 	if err != nil {
-		return d.failed(ctx, t, n, err)
+		return d.handleSendError(ctx, t, n, err)
 	}
 
 	if a.mark.NotRun {
-		return d.rejected(t, n, a)
+		return d.handleRejection(t, n, a)
 	}
 
-	d.ran++
+	d.runs++
 
-	if err := d.deliver(t, n, a, sent); err != nil {
-		return d.blame(ctx, t, err)
+	if err := d.deliverAnswer(t, n, a, sent); err != nil {
+		return d.checkCrash(ctx, t, err)
 	}
 
 	return nil
 }
 
-// failed judges a sending without an answer.
-func (d *delivery) failed(ctx context.Context, t *router.Target, n int, err error) error {
+// handleSendError judges a sending without an answer.
+func (d *delivery) handleSendError(ctx context.Context, t *router.Target, n int, err error) error {
 	var dial *DialError
 	if errors.As(err, &dial) {
 		d.trail.Learn(n, request.NotReached)
 
 		if ctx.Err() == nil {
-			d.suspectTarget(t)
+			d.markUnreachable(t)
 		}
 
 		return err
 	}
 
-	d.ran++
+	d.runs++
 
-	return d.blame(ctx, t, err)
+	return d.checkCrash(ctx, t, err)
 }
 
-// suspectTarget keeps requests away from a target that cannot be reached.
-func (d *delivery) suspectTarget(t *router.Target) {
+// markUnreachable keeps requests away from a target that cannot be reached.
+func (d *delivery) markUnreachable(t *router.Target) {
 	now := time.Now()
 	t.Failed(now)
 
-	if d.noteDeath(t, t.Info().Incarnation, now) {
+	if d.recordDeath(t, t.Info().Incarnation, now) {
 		d.Log.Warn().Str("target", string(t.ID)).Msg("target not reached")
 	}
 }
 
-// noteDeath records that a target's process takes no connection, and reports
+// recordDeath records that a target's process takes no connection, and reports
 // whether that is news, which is then passed on.
-func (d *delivery) noteDeath(t *router.Target, incarnation string, now time.Time) bool {
+func (d *delivery) recordDeath(t *router.Target, incarnation string, now time.Time) bool {
 	if !t.Died(incarnation, now) {
 		return false
 	}
@@ -305,12 +305,12 @@
 	return true
 }
 
-// rejected records that the target did not run the request.
-func (d *delivery) rejected(t *router.Target, n int, a *answer) error {
+// handleRejection records that the target did not run the request.
+func (d *delivery) handleRejection(t *router.Target, n int, a *answer) error {
 	d.trail.Learn(n, request.ProvedNotRun)
 
-	if _, err := io.Copy(io.Discard, io.LimitReader(a.Body, maxHead)); err == nil {
-		a.finish()
+	if _, err := io.Copy(io.Discard, io.LimitReader(a.Body, maxHeadBytes)); err == nil {
+		a.release()
 	} else {
 		a.abandon()
 	}
@@ -325,12 +325,12 @@
 	return &RejectedError{Target: t.ID, Status: a.StatusCode}
 }
 
-// blame finds out whether the target died under the request.
+// checkCrash finds out whether the target died under the request.
 //
 // It guards against a request that crashes every target that runs it: a target
 // counts as dead only if it refuses a new connection right after, so that a
 // lost answer alone blames nobody.
-func (d *delivery) blame(ctx context.Context, t *router.Target, err error) error {
+func (d *delivery) checkCrash(ctx context.Context, t *router.Target, err error) error {
 	var caller *callerError
 
 	var failed *FailedError
@@ -340,14 +340,14 @@
 
 	t.Failed(time.Now())
 
-	if !broken(err) {
+	if !connectionBroken(err) {
 		return err
 	}
 
 	probe, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 
-	c, dialErr := d.Pool.get(probe, peerKey{t.ID, t.Address}, true)
+	c, dialErr := d.Pool.get(probe, targetKey{t.ID, t.Address}, true)
 	if dialErr == nil {
 		d.Pool.put(c, 0)
 
@@ -355,8 +355,8 @@
 	}
 
 	incarnation := t.Info().Incarnation
-	d.noteDeath(t, incarnation, time.Now())
-	d.Log.Warn().Str("id", d.ask.ID).Str("target", string(t.ID)).Msg("target died under a request")
+	d.recordDeath(t, incarnation, time.Now())
+	d.Log.Warn().Str("id", d.info.ID).Str("target", string(t.ID)).Msg("target died under a request")
 
 	if d.Lines.Died(d.req.Fingerprint(), crash.Death{Target: t.ID, Incarnation: incarnation}) {
 		return d.trail.Refuse(request.Poisoned, 0, "targets crashed while they ran this request")
@@ -365,21 +365,21 @@
 	return err
 }
 
-// broken reports whether a connection ended under a request.
-func broken(err error) bool {
+// connectionBroken reports whether a connection ended under a request.
+func connectionBroken(err error) bool {
 	var opErr *net.OpError
 
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.As(err, &opErr)
 }
 
-// whole is an answer that was read to its end.
-type whole struct {
+// bufferedAnswer is an answer that was read to its end.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-func (a *whole) write(d *delivery) {
+func (a *bufferedAnswer) write(d *delivery) {
 	h := d.w.Header()
 	for name, values := range a.header {
 		h[name] = values
@@ -394,29 +394,29 @@
 	_, _ = d.w.Write(a.body) // A caller that left gets nothing, and the server notices.
 }
 
-// deliver passes a target's answer on.
-func (d *delivery) deliver(t *router.Target, n int, a *answer, sent time.Time) error {
+// deliverAnswer passes a target's answer on.
+func (d *delivery) deliverAnswer(t *router.Target, n int, a *answer, sent time.Time) error {
 	if !a.mark.Signed || a.Header.Get("Content-Encoding") != "" {
 		a.abandon()
 
-		return &GarbledError{Reason: "not signed, or encoded"}
+		return &InvalidAnswerError{Reason: "not signed, or encoded"}
 	}
 
 	if d.route.Kind == route.Stream && a.StatusCode == http.StatusOK {
-		return d.pass(t, n, a, sent)
+		return d.forwardStream(t, n, a, sent)
 	}
 
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxBody))
-	if err != nil || len(body) == maxBody {
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes))
+	if err != nil || len(body) == maxAnswerBytes {
 		a.abandon()
 
-		return errors.Join(&GarbledError{Reason: "answer cut short"}, err)
+		return errors.Join(&InvalidAnswerError{Reason: "answer cut short"}, err)
 	}
 
-	a.finish()
+	a.release()
 	d.trail.Learn(n, request.Completed)
 
-	got := &whole{status: a.StatusCode, header: d.Protocol.Incoming(a.Header), body: body}
+	got := &bufferedAnswer{status: a.StatusCode, header: d.Protocol.Incoming(a.Header), body: body}
 
 	if a.StatusCode >= http.StatusInternalServerError {
 		d.fallback = got
@@ -424,12 +424,12 @@
 		return &FailedError{Target: t.ID, Status: a.StatusCode}
 	}
 
-	if d.begun {
+	if d.headSent {
 		// A resumed stream was answered with something else.
 		return &FailedError{Target: t.ID, Status: a.StatusCode}
 	}
 
-	d.first = time.Since(d.arrived)
+	d.firstByte = time.Since(d.arrived)
 	t.Succeeded(time.Since(sent), t.Own())
 	got.write(d)
 
--- a/internal/serving/relay/exchange.go
+++ b/internal/serving/relay/exchange.go
@@ -21,8 +21,8 @@
 	// hasBody says that the caller sent a body, which may be empty.
 	hasBody bool
 	id      string
-	// fresh asks for a new connection.
-	fresh bool
+	// newConn asks for a new connection.
+	newConn bool
 }
 
 // answer is the head of a target's answer and the rest of it.
@@ -31,9 +31,9 @@
 
 	mark Mark
 	conn *conn
-	// long says that the target may have answered before it had read the whole
+	// longBody says that the target may have answered before it had read the whole
 	// request.
-	long bool
+	longBody bool
 	pool *Pool
 	stop func() bool
 }
@@ -45,20 +45,20 @@
 
 func (e *DialError) Unwrap() error { return e.Err }
 
-// GarbledError says that what came back is no answer to the request.
-type GarbledError struct{ Reason string }
+// InvalidAnswerError says that what came back is no answer to the request.
+type InvalidAnswerError struct{ Reason string }
 
-func (e *GarbledError) Error() string { return "no answer: " + e.Reason }
+func (e *InvalidAnswerError) Error() string { return "no answer: " + e.Reason }
 
 const (
-	// writeInline is up to what size a body is written before the answer is
+	// maxInlineBody is up to what size a body is written before the answer is
 	// read. A target may answer before it has read a longer one, and the small
 	// windows of the links would then block the writer.
-	writeInline = 16 << 10
+	maxInlineBody = 16 << 10
 	// maxInterim bounds the interim answers before the final one.
 	maxInterim = 4
-	// maxStray bounds the answers to earlier requests that are passed over.
-	maxStray = 2
+	// maxStrayAnswers bounds the answers to earlier requests that are passed over.
+	maxStrayAnswers = 2
 	// maxStrayBody bounds the body of such an answer.
 	maxStrayBody = 256 << 10
 )
@@ -67,7 +67,7 @@
 // head of the answer. When ctx ends, the connection is closed under way, so
 // that the target stops its work.
 func (p *Pool) exchange(ctx context.Context, t *router.Target, out *outgoing, proto Protocol) (*answer, error) {
-	c, err := p.get(ctx, peerKey{t.ID, t.Address}, out.fresh)
+	c, err := p.get(ctx, targetKey{t.ID, t.Address}, out.newConn)
 	if err != nil {
 		return nil, &DialError{Err: err}
 	}
@@ -89,7 +89,7 @@
 
 func (c *conn) roundTrip(out *outgoing, proto Protocol) (*answer, error) {
 	c.uses++
-	long := len(out.body) > writeInline
+	long := len(out.body) > maxInlineBody
 
 	if long {
 		go func() { _ = c.write(out) }() // A failed write shows as a missing answer.
@@ -97,7 +97,7 @@
 		return nil, err
 	}
 
-	for range maxStray + 1 {
+	for range maxStrayAnswers + 1 {
 		resp, err := c.readHead(out.method) //nolint:bodyclose // The answer owns it, and the connection is closed otherwise.
 		if err != nil {
 			return nil, err
@@ -105,30 +105,30 @@
 
 		mark := proto.Answer(resp.StatusCode, resp.Header)
 		if mark.ID == "" || mark.ID == out.id {
-			return &answer{Response: resp, mark: mark, conn: c, long: long}, nil
+			return &answer{Response: resp, mark: mark, conn: c, longBody: long}, nil
 		}
 
-		if err := c.passOver(resp); err != nil {
+		if err := c.skipAnswer(resp); err != nil {
 			return nil, err
 		}
 	}
 
-	return nil, &GarbledError{Reason: "answers to other requests"}
+	return nil, &InvalidAnswerError{Reason: "answers to other requests"}
 }
 
-// passOver reads an answer to another request to its end.
+// skipAnswer reads an answer to another request to its end.
 //
 // It guards against a target that answers an earlier request twice: the second
 // answer arrives where the next one is expected, and without its id a caller
 // would get somebody else's answer.
-func (c *conn) passOver(resp *http.Response) error {
+func (c *conn) skipAnswer(resp *http.Response) error {
 	if c.uses < 2 || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 { //nolint:mnd // The first use has no earlier request.
-		return &GarbledError{Reason: "answer to another request"}
+		return &InvalidAnswerError{Reason: "answer to another request"}
 	}
 
 	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStrayBody))
 	if err == nil && n == maxStrayBody {
-		err = &GarbledError{Reason: "long answer to another request"}
+		err = &InvalidAnswerError{Reason: "long answer to another request"}
 	}
 
 	return err
@@ -137,7 +137,7 @@
 // readHead reads the head of the final answer.
 func (c *conn) readHead(method string) (*http.Response, error) {
 	for range maxInterim {
-		c.head.N = maxHead
+		c.head.N = maxHeadBytes
 
 		resp, err := http.ReadResponse(c.r, &http.Request{Method: method})
 		if err != nil {
@@ -151,7 +151,7 @@
 		}
 	}
 
-	return nil, &GarbledError{Reason: "too many interim answers"}
+	return nil, &InvalidAnswerError{Reason: "too many interim answers"}
 }
 
 // write sends the request as it came, but for the headers.
@@ -189,8 +189,8 @@
 // ends with its connection.
 func (a *answer) framed() bool { return a.ContentLength >= 0 || len(a.TransferEncoding) > 0 }
 
-// finish gives the connection back after the whole answer was read.
-func (a *answer) finish() {
+// release gives the connection back after the whole answer was read.
+func (a *answer) release() {
 	if !a.stop() {
 		// The request was given up, and the connection is closed.
 		return
@@ -198,7 +198,7 @@
 
 	// A target that answered early takes what it reads next for the rest of the
 	// request, and nothing tells whether it did.
-	if a.long || a.Close || !a.framed() || a.ProtoMajor != 1 || a.ProtoMinor != 1 {
+	if a.longBody || a.Close || !a.framed() || a.ProtoMajor != 1 || a.ProtoMinor != 1 {
 		a.conn.Close()
 
 		return
@@ -234,7 +234,7 @@
 		}
 
 		if len(buf) > maxEvent {
-			return buf, id, &GarbledError{Reason: "event too long"}
+			return buf, id, &InvalidAnswerError{Reason: "event too long"}
 		}
 
 		if err != nil {
@@ -252,16 +252,16 @@
 	}
 }
 
-// after reports whether an event's id lies behind the last one passed on.
+// isAfter reports whether an event's id lies behind the last one passed on.
 // Ids that are no numbers are taken as they come.
-func after(id, last string) bool {
+func isAfter(id, last string) bool {
 	a, errA := strconv.ParseInt(id, 10, 64)
 	b, errB := strconv.ParseInt(last, 10, 64)
 
 	return errA != nil || errB != nil || a > b
 }
 
-// seconds formats a duration for the header Retry-After.
-func seconds(d time.Duration) string {
+// retryAfterSeconds formats a duration for the header Retry-After.
+func retryAfterSeconds(d time.Duration) string {
 	return strconv.FormatFloat(max(d, 0).Seconds(), 'f', 3, 64)
 }
--- a/internal/serving/relay/identify.go
+++ b/internal/serving/relay/identify.go
@@ -31,11 +31,11 @@
 	RetryAfter time.Duration
 }
 
-// UnidentifiedError says that no team has a caller's key. It never holds the
+// UnknownKeyError says that no team has a caller's key. It never holds the
 // key.
-type UnidentifiedError struct{}
+type UnknownKeyError struct{}
 
-func (e *UnidentifiedError) Error() string { return "no team has the caller's key" }
+func (e *UnknownKeyError) Error() string { return "no team has the caller's key" }
 
 // identify returns the team of the caller, or nil where a route is open to all.
 // It fails with a *key.MissingError or an *UnidentifiedError.
@@ -50,7 +50,7 @@
 			return t, nil
 		}
 
-		err = &UnidentifiedError{}
+		err = &UnknownKeyError{}
 	}
 
 	if rt.Public {
@@ -60,22 +60,22 @@
 	return nil, err
 }
 
-// place is what a request is handled under.
-type place struct {
+// matchedRoute is what a request is handled under.
+type matchedRoute struct {
 	table *route.Table
 	route *route.Route
 	team  *team.Team
 }
 
-// locate finds the route and the team of a request. Where the key is unknown it
+// matchRoute finds the route and the team of a request. Where the key is unknown it
 // makes sure first that no newer configuration knows it.
 //
 // It guards against refusing callers with new keys on entries that learn of
 // changes a moment later than others.
-func (s *Server) locate(r *http.Request, table *route.Table, ask Ask) (place, error) {
-	p, err := find(r, table, ask)
+func (s *Server) matchRoute(r *http.Request, table *route.Table, ask Ask) (matchedRoute, error) {
+	p, err := matchIn(r, table, ask)
 
-	var unknown *UnidentifiedError
+	var unknown *UnknownKeyError
 	if s.Confirm == nil || !errors.As(err, &unknown) {
 		return p, err
 	}
@@ -83,14 +83,14 @@
 	s.Confirm(r.Context())
 
 	if newer := s.Table(); newer != table {
-		return find(r, newer, ask)
+		return matchIn(r, newer, ask)
 	}
 
 	return p, err
 }
 
-func find(r *http.Request, table *route.Table, ask Ask) (place, error) {
-	p := place{table: table, route: table.Match(r.Host, r.URL.EscapedPath())}
+func matchIn(r *http.Request, table *route.Table, ask Ask) (matchedRoute, error) {
+	p := matchedRoute{table: table, route: table.Match(r.Host, r.URL.EscapedPath())}
 	if p.route == nil {
 		return p, nil
 	}
@@ -105,9 +105,9 @@
 // challenge tells a caller without a key that opens the route how to bring one.
 const challenge = "Bearer"
 
-// limitUnknownRetry is when a caller is told to come back whose team's limit
+// limitUnknownRetryAfter is when a caller is told to come back whose team's limit
 // nobody could be asked about.
-const limitUnknownRetry = 400 * time.Millisecond
+const limitUnknownRetryAfter = 400 * time.Millisecond
 
 // charge counts the request against its team's limit. It answers the request
 // itself and reports false when it is refused.
@@ -116,7 +116,7 @@
 		return true
 	}
 
-	cost := d.team.Limit.Cost(d.ask.TokensIn+d.ask.TokensOut, d.ask.TokensNamed)
+	cost := d.team.Limit.Cost(d.info.TokensIn+d.info.TokensOut, d.info.TokensNamed)
 	began := time.Now()
 	got := d.Limits.Charge(d.r.Context(), d.team, cost)
 	took := time.Since(began)
@@ -129,14 +129,14 @@
 
 	status, retry, why := http.StatusTooManyRequests, got.RetryAfter, "the team's limit is used up"
 	if got.Unknown {
-		status, retry, why = http.StatusServiceUnavailable, limitUnknownRetry, "nobody answers who knows the team's limit"
+		status, retry, why = http.StatusServiceUnavailable, limitUnknownRetryAfter, "nobody answers who knows the team's limit"
 	}
 
-	d.Log.Info().Str("id", d.ask.ID).Str("team", d.team.Name).Float64("cost", cost).
+	d.Log.Info().Str("id", d.info.ID).Str("team", d.team.Name).Float64("cost", cost).
 		Float64("perSecond", d.team.Limit.PerSecond).Float64("burst", d.team.Limit.Burst).Float64("part", got.Part).Dur("asked", took).
 		Int("status", status).Dur("retryAfter", retry).Str("why", why).Msg("request refused")
 	d.count(kindNames[d.route.Kind], status)
-	turnAway(d.w, status, retry)
+	writeRefusal(d.w, status, retry)
 
 	return false
 }
--- a/internal/serving/relay/identify_test.go
+++ b/internal/serving/relay/identify_test.go
@@ -44,7 +44,7 @@
 	return out
 }
 
-func teams(t *testing.T, all ...team.Team) team.Set {
+func newTeams(t *testing.T, all ...team.Team) team.Set {
 	t.Helper()
 
 	s, err := team.NewSet(all)
@@ -53,21 +53,21 @@
 	return s
 }
 
-func one(name, text string) team.Team {
+func teamWithKey(name, text string) team.Team {
 	return team.Team{Name: name, Keys: []key.Digest{key.DigestOf(text)}}
 }
 
-// keyed is a world whose route asks for keys.
-func keyed(t *testing.T, public bool) *world {
+// newKeyedFixture is a world whose route asks for keys.
+func newKeyedFixture(t *testing.T, public bool) *fixture {
 	t.Helper()
 
-	w := newWorld(t, func(_ int, _ call, out io.Writer, _ net.Conn) { say(out, "200 OK", "", "done") },
+	w := newFixture(t, func(_ int, _ call, out io.Writer, _ net.Conn) { writeAnswer(out, "200 OK", "", "done") },
 		route.Route{Kind: route.Idempotent, Timeout: 5 * time.Second, Priority: 4, Public: public})
 	w.server.Protocol = keyedProtocol{}
 
-	urgent := one("b", "kb")
+	urgent := teamWithKey("b", "kb")
 	urgent.Ranked, urgent.Priority = true, 0
-	w.config.Teams = teams(t, one("a", "ka"), urgent)
+	w.config.Teams = newTeams(t, teamWithKey("a", "ka"), urgent)
 
 	return w
 }
@@ -92,8 +92,8 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := keyed(t, tc.public)
-				defer w.end()
+				w := newKeyedFixture(t, tc.public)
+				defer w.close()
 
 				header := []string{"Team", "forged"}
 				if tc.authorization != "" {
@@ -110,7 +110,7 @@
 					return
 				}
 
-				got := w.got()[0].header
+				got := w.received()[0].header
 				assert.Equal(t, got.Get("Authorization"), "")
 				assert.Equal(t, got.Get("Team"), tc.team)
 			})
@@ -121,13 +121,13 @@
 // TestTeamPriority: a team's rank goes before its route's.
 func TestTeamPriority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := keyed(t, false)
-		defer w.end()
+		w := newKeyedFixture(t, false)
+		defer w.close()
 
 		_, _ = w.do(t.Context(), "x", "Authorization", "Bearer ka")
 		_, _ = w.do(t.Context(), "x", "Authorization", "Bearer kb")
-		assert.Equal(t, w.got()[0].header.Get("Priority"), "4")
-		assert.Equal(t, w.got()[1].header.Get("Priority"), "0")
+		assert.Equal(t, w.received()[0].header.Get("Priority"), "4")
+		assert.Equal(t, w.received()[1].header.Get("Priority"), "0")
 	})
 }
 
@@ -135,11 +135,11 @@
 // in a configuration that this entry has not heard of yet.
 func TestKeyOfNewerConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := keyed(t, false)
-		defer w.end()
+		w := newKeyedFixture(t, false)
+		defer w.close()
 
 		newer := *w.config
-		newer.Teams = teams(t, one("c", "kc"))
+		newer.Teams = newTeams(t, teamWithKey("c", "kc"))
 		checks := 0
 
 		w.server.Confirm = func(context.Context) {
@@ -149,7 +149,7 @@
 
 		rec, _ := w.do(t.Context(), "x", "Authorization", "Bearer kc")
 		assert.Equal(t, rec.Code, http.StatusOK)
-		assert.Equal(t, w.got()[0].header.Get("Team"), "c")
+		assert.Equal(t, w.received()[0].header.Get("Team"), "c")
 
 		rec, _ = w.do(t.Context(), "x", "Authorization", "Bearer ka")
 		assert.Equal(t, rec.Code, http.StatusUnauthorized)
@@ -162,13 +162,13 @@
 	})
 }
 
-// ledger is a limiter that keeps account.
-type ledger struct {
+// fakeLimiter is a limiter that keeps account.
+type fakeLimiter struct {
 	left    float64
 	unknown bool
 }
 
-func (l *ledger) Charge(_ context.Context, _ *team.Team, cost float64) Charge {
+func (l *fakeLimiter) Charge(_ context.Context, _ *team.Team, cost float64) Charge {
 	if l.unknown || l.left < cost {
 		return Charge{Unknown: l.unknown, RetryAfter: 1500 * time.Millisecond}
 	}
@@ -178,20 +178,20 @@
 	return Charge{Granted: true}
 }
 
-func (l *ledger) Refund(_ *team.Team, cost float64) { l.left += cost }
+func (l *fakeLimiter) Refund(_ *team.Team, cost float64) { l.left += cost }
 
-// limited is a world whose team has a limit, with what is left of it.
-func limited(t *testing.T, act script, left float64) (*world, *ledger) {
+// newLimitedFixture is a world whose team has a limit, with what is left of it.
+func newLimitedFixture(t *testing.T, act targetScript, left float64) (*fixture, *fakeLimiter) {
 	t.Helper()
 
-	w := keyed(t, false)
+	w := newKeyedFixture(t, false)
 	w.act = act
 
-	a := one("a", "ka")
+	a := teamWithKey("a", "ka")
 	a.Limit = team.Limit{PerSecond: 100, Burst: 100, Unit: team.Tokens, Plain: 30}
-	w.config.Teams = teams(t, a)
+	w.config.Teams = newTeams(t, a)
 
-	l := &ledger{left: left}
+	l := &fakeLimiter{left: left}
 	w.server.Limits = l
 
 	return w, l
@@ -199,8 +199,8 @@
 
 func TestCharged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, l := limited(t, func(_ int, _ call, out io.Writer, _ net.Conn) { say(out, "200 OK", "", "done") }, 100)
-		defer w.end()
+		w, l := newLimitedFixture(t, func(_ int, _ call, out io.Writer, _ net.Conn) { writeAnswer(out, "200 OK", "", "done") }, 100)
+		defer w.close()
 
 		rec, _ := w.do(t.Context(), "x", "Authorization", "Bearer ka", "Tokens", "60")
 		assert.Equal(t, rec.Code, http.StatusOK)
@@ -226,17 +226,17 @@
 // given back, and nothing else is.
 func TestGivenBack(t *testing.T) {
 	for name, tc := range map[string]struct {
-		act  script
+		act  targetScript
 		left float64
 	}{
-		"not run":      {func(_ int, _ call, out io.Writer, _ net.Conn) { say(out, "503 Full", "Not-Run: 1\r\n", "") }, 100},
-		"run":          {func(_ int, _ call, out io.Writer, _ net.Conn) { say(out, "500 No", "", "") }, 70},
+		"not run":      {func(_ int, _ call, out io.Writer, _ net.Conn) { writeAnswer(out, "503 Full", "Not-Run: 1\r\n", "") }, 100},
+		"run":          {func(_ int, _ call, out io.Writer, _ net.Conn) { writeAnswer(out, "500 No", "", "") }, 70},
 		"may have run": {func(_ int, _ call, _ io.Writer, conn net.Conn) { conn.Close() }, 70},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w, l := limited(t, tc.act, 100)
-				defer w.end()
+				w, l := newLimitedFixture(t, tc.act, 100)
+				defer w.close()
 
 				_, _ = w.do(t.Context(), "x", "Authorization", "Bearer ka")
 				assert.Equal(t, l.left, tc.left)
@@ -250,14 +250,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		var log bytes.Buffer
 
-		w, l := limited(t, func(n int, _ call, out io.Writer, conn net.Conn) {
+		w, l := newLimitedFixture(t, func(n int, _ call, out io.Writer, conn net.Conn) {
 			if n%2 == 0 {
 				conn.Close()
 			}
 
-			say(out, "200 OK", "", "done")
+			writeAnswer(out, "200 OK", "", "done")
 		}, 70)
-		defer w.end()
+		defer w.close()
 
 		w.server.Log = zerolog.New(&log)
 
--- a/internal/serving/relay/pass.go
+++ b/internal/serving/relay/pass.go
@@ -13,20 +13,20 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/router"
 )
 
-// eventSilence is how long a stream that can go on elsewhere may be silent
+// eventTimeout is how long a stream that can go on elsewhere may be silent
 // between two events. Callers leave after 2.4 s or more.
-const eventSilence = 1600 * time.Millisecond
+const eventTimeout = 1600 * time.Millisecond
 
-// pass hands a stream's events to the caller as they come.
-func (d *delivery) pass(t *router.Target, n int, a *answer, sent time.Time) error {
-	if !d.begun && !strings.HasPrefix(a.Header.Get("Content-Type"), "text/event-stream") {
-		d.Log.Debug().Str("id", d.ask.ID).Str("type", a.Header.Get("Content-Type")).Msg("stream of another type")
+// forwardStream hands a stream's events to the caller as they come.
+func (d *delivery) forwardStream(t *router.Target, n int, a *answer, sent time.Time) error {
+	if !d.headSent && !strings.HasPrefix(a.Header.Get("Content-Type"), "text/event-stream") {
+		d.Log.Debug().Str("id", d.info.ID).Str("type", a.Header.Get("Content-Type")).Msg("stream of another type")
 	}
 
 	var (
 		buf   []byte
 		ev    = events{bufio.NewReader(a.Body)}
-		watch = time.AfterFunc(time.Hour, func() { d.leaveSilent(a) })
+		watch = time.AfterFunc(time.Hour, func() { d.closeSilent(a) })
 	)
 
 	defer watch.Stop()
@@ -36,14 +36,14 @@
 		buf = event
 
 		if err != nil {
-			return d.passed(t, n, a, event, err)
+			return d.endStream(t, n, a, event, err)
 		}
 
-		if d.last != "" && id != "" && !after(id, d.last) {
+		if d.lastEvent != "" && id != "" && !isAfter(id, d.lastEvent) {
 			continue
 		}
 
-		if err := d.passEvent(a, event); err != nil {
+		if err := d.writeEvent(a, event); err != nil {
 			a.abandon()
 
 			return err
@@ -52,63 +52,63 @@
 		d.trail.Learn(n, request.Begun)
 
 		if id != "" {
-			d.last = id
+			d.lastEvent = id
 		}
 
 		if count == 0 {
-			d.noteFirst(t, sent)
+			d.recordFirstEvent(t, sent)
 		}
 
 		if d.route.Resumable {
-			watch.Reset(eventSilence)
+			watch.Reset(eventTimeout)
 		}
 	}
 }
 
-// leaveSilent closes the connection of a stream that has fallen silent, if the
+// closeSilent closes the connection of a stream that has fallen silent, if the
 // stream may go on at another target.
 //
 // It guards against giving up an answer that still comes: a target under load
 // may be silent for seconds, and without a repeat left the caller would get
 // nothing more.
-func (d *delivery) leaveSilent(a *answer) {
-	if d.ran >= d.route.Attempts || d.in(Stopping) || !d.Budgets.Take(d.service, time.Now()) {
+func (d *delivery) closeSilent(a *answer) {
+	if d.runs >= d.route.Attempts || d.reached(Stopping) || !d.Budgets.TryWithdraw(d.service, time.Now()) {
 		return
 	}
 
-	d.paid.Store(true)
+	d.retryReserved.Store(true)
 	a.conn.Close()
 }
 
-func (d *delivery) noteFirst(t *router.Target, sent time.Time) {
-	if d.first == 0 {
-		d.first = time.Since(d.arrived)
+func (d *delivery) recordFirstEvent(t *router.Target, sent time.Time) {
+	if d.firstByte == 0 {
+		d.firstByte = time.Since(d.arrived)
 	}
 
 	t.Succeeded(time.Since(sent), t.Own())
 }
 
-// passed judges the end of a stream.
-func (d *delivery) passed(t *router.Target, n int, a *answer, rest []byte, err error) error {
+// endStream judges the end of a stream.
+func (d *delivery) endStream(t *router.Target, n int, a *answer, rest []byte, err error) error {
 	if !errors.Is(err, io.EOF) || !a.framed() && len(rest) > 0 {
 		a.abandon()
 
 		return fmt.Errorf("target %s: stream cut: %w", t.ID, err)
 	}
 
-	a.finish()
+	a.release()
 	d.trail.Learn(n, request.Completed)
 
-	if len(rest) > 0 || !d.begun {
-		return d.passEvent(a, rest)
+	if len(rest) > 0 || !d.headSent {
+		return d.writeEvent(a, rest)
 	}
 
 	return nil
 }
 
-// passEvent writes one event, after the head of the first target's answer.
-func (d *delivery) passEvent(a *answer, event []byte) error {
-	if !d.begun {
+// writeEvent writes one event, after the head of the first target's answer.
+func (d *delivery) writeEvent(a *answer, event []byte) error {
+	if !d.headSent {
 		h := d.w.Header()
 		for name, values := range d.Protocol.Incoming(a.Header) {
 			h[name] = values
@@ -116,7 +116,7 @@
 
 		d.w.WriteHeader(a.StatusCode)
 
-		d.begun = true
+		d.headSent = true
 	}
 
 	if _, err := d.w.Write(event); err != nil {
@@ -128,7 +128,7 @@
 	}
 
 	d.events++
-	d.heard = time.Now()
+	d.lastEventAt = time.Now()
 
 	return nil
 }
--- a/internal/serving/relay/relay_test.go
+++ b/internal/serving/relay/relay_test.go
@@ -71,22 +71,22 @@
 	target instance.ID
 	header http.Header
 	body   string
-	// on counts the requests on this connection.
-	on int
+	// onConn counts the requests onConn this connection.
+	onConn int
 	at time.Time
 }
 
-// script is what the targets do with the nth request that reaches any of them.
-type script func(n int, c call, w io.Writer, conn net.Conn)
+// targetScript is what the targets do with the nth request that reaches any of them.
+type targetScript func(n int, c call, w io.Writer, conn net.Conn)
 
-// world has targets a and b behind a relay, on pipes.
-type world struct {
+// fixture has targets a and b behind a relay, on pipes.
+type fixture struct {
 	t       *testing.T
 	server  *Server
 	config  *route.Config
 	table   *route.Table
 	targets *router.Table
-	act     script
+	act     targetScript
 
 	mu    sync.Mutex
 	calls []call
@@ -95,7 +95,7 @@
 	down   map[instance.ID]bool
 }
 
-func newWorld(t *testing.T, act script, r route.Route) *world {
+func newFixture(t *testing.T, act targetScript, r route.Route) *fixture {
 	t.Helper()
 
 	if r.Attempts == 0 {
@@ -105,7 +105,7 @@
 	r.Name, r.Host, r.Prefix = "r", "host", "/p/"
 	r.Splits = []route.Split{{Service: "s", Weight: 1}}
 
-	w := &world{t: t, act: act, down: make(map[instance.ID]bool), config: &route.Config{
+	w := &fixture{t: t, act: act, down: make(map[instance.ID]bool), config: &route.Config{
 		Version: 1, Routes: []route.Route{r}, Services: map[string]route.Service{"s": {Name: "s"}},
 	}}
 	w.table = route.NewTable(w.config)
@@ -122,13 +122,13 @@
 	}
 	w.server.Budgets.Share(1)
 	w.targets = targets
-	w.list(1)
+	w.listTargets(1)
 
 	return w
 }
 
-// list makes both targets known, as new processes for each number.
-func (w *world) list(number uint64) {
+// listTargets makes both targets known, as new processes for each number.
+func (w *fixture) listTargets(number uint64) {
 	s := &router.Snapshot{Token: 1, Number: number}
 	for i, id := range []instance.ID{"a", "b"} {
 		s.Targets = append(s.Targets, router.TargetInfo{
@@ -140,7 +140,7 @@
 	w.targets.Apply(s, time.Now())
 }
 
-func (w *world) dial(_ context.Context, address netip.AddrPort) (net.Conn, error) {
+func (w *fixture) dial(_ context.Context, address netip.AddrPort) (net.Conn, error) {
 	id := instance.ID("a")
 	if address.Port() == 2 {
 		id = "b"
@@ -162,7 +162,7 @@
 }
 
 // target serves one connection.
-func (w *world) target(id instance.ID, conn net.Conn) {
+func (w *fixture) target(id instance.ID, conn net.Conn) {
 	r := bufio.NewReader(conn)
 
 	for on := 1; ; on++ {
@@ -178,7 +178,7 @@
 		body, _ := io.ReadAll(req.Body)
 
 		w.mu.Lock()
-		c := call{target: id, header: req.Header, body: string(body), on: on, at: time.Now()}
+		c := call{target: id, header: req.Header, body: string(body), onConn: on, at: time.Now()}
 		w.calls = append(w.calls, c)
 		n := len(w.calls)
 		w.mu.Unlock()
@@ -195,7 +195,7 @@
 
 // do sends a request and returns its answer; aborted says that the connection
 // was closed under it.
-func (w *world) do(ctx context.Context, body string, header ...string) (rec *httptest.ResponseRecorder, aborted bool) {
+func (w *fixture) do(ctx context.Context, body string, header ...string) (rec *httptest.ResponseRecorder, aborted bool) {
 	req := httptest.NewRequestWithContext(ctx, http.MethodPost, "http://host/p/x?q=1", strings.NewReader(body))
 	req.RequestURI = "/p/x?q=1"
 	req.Header.Set("Id", "one")
@@ -220,15 +220,15 @@
 	return rec, false
 }
 
-// got returns what has reached the targets.
-func (w *world) got() []call {
+// received returns what has reached the targets.
+func (w *fixture) received() []call {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
 	return w.calls
 }
 
-func (w *world) sends() int {
+func (w *fixture) sends() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
@@ -237,7 +237,7 @@
 
 const head = "HTTP/1.1 %s\r\nSigned: x\r\nId: one\r\n"
 
-func say(w io.Writer, status, extra, body string) {
+func writeAnswer(w io.Writer, status, extra, body string) {
 	_, _ = fmt.Fprintf(w, head+"%sContent-Length: %d\r\n\r\n%s", status, extra, len(body), body)
 }
 
@@ -264,11 +264,11 @@
 	stepwise := route.Route{Kind: route.Stream, Timeout: 5 * time.Second}
 	resumable := route.Route{Kind: route.Stream, Resumable: true, Timeout: 5 * time.Second}
 	cut := func(_ int, _ call, _ io.Writer, conn net.Conn) { conn.Close() }
-	ok := func(w io.Writer) { say(w, "200 OK", "", "done") }
+	ok := func(w io.Writer) { writeAnswer(w, "200 OK", "", "done") }
 
 	cases := map[string]struct {
 		route route.Route
-		act   script
+		act   targetScript
 		// status and body are what the caller gets, aborted that its
 		// connection is closed.
 		status  int
@@ -278,7 +278,7 @@
 		retry   bool
 	}{
 		"a whole answer":                    {once, func(_ int, _ call, w io.Writer, _ net.Conn) { ok(w) }, 200, "done", false, 1, false},
-		"a target's own failure":            {once, func(_ int, _ call, w io.Writer, _ net.Conn) { say(w, "500 No", "", "why") }, 500, "why", false, 1, false},
+		"a target's own failure":            {once, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "500 No", "", "why") }, 500, "why", false, 1, false},
 		"no answer to what runs once":       {once, cut, 502, "", false, 1, false},
 		"no answer to what may be repeated": {idempotent, cut, 502, "", false, 2, false},
 		"one answer lost": {idempotent, func(n int, c call, w io.Writer, conn net.Conn) {
@@ -290,7 +290,7 @@
 		}, 200, "done", false, 2, false},
 		"a failure, then a success": {idempotent, func(n int, _ call, w io.Writer, _ net.Conn) {
 			if n == 1 {
-				say(w, "500 No", "", "why")
+				writeAnswer(w, "500 No", "", "why")
 
 				return
 			}
@@ -299,14 +299,14 @@
 		}, 200, "done", false, 2, false},
 		"rejected, then run": {once, func(n int, _ call, w io.Writer, _ net.Conn) {
 			if n == 1 {
-				say(w, "503 Full", "Not-Run: 1\r\n", "")
+				writeAnswer(w, "503 Full", "Not-Run: 1\r\n", "")
 
 				return
 			}
 
 			ok(w)
 		}, 200, "done", false, 2, false},
-		"rejected by all": {once, func(_ int, _ call, w io.Writer, _ net.Conn) { say(w, "503 Full", "Not-Run: 1\r\n", "") }, 503, "", false, maxSends, true},
+		"rejected by all": {once, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "503 Full", "Not-Run: 1\r\n", "") }, 503, "", false, maxAttempts, true},
 		"an answer that is not signed": {once, func(_ int, _ call, w io.Writer, _ net.Conn) {
 			_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhm")
 		}, 502, "", false, 1, false},
@@ -367,7 +367,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, c.act, c.route)
+				w := newFixture(t, c.act, c.route)
 				rec, aborted := w.do(t.Context(), "body")
 
 				assert.Equal(t, rec.Code, c.status)
@@ -380,18 +380,18 @@
 					assert.Equal(t, rec.Header().Get("Signed"), "x")
 				}
 
-				for _, got := range w.got() {
+				for _, got := range w.received() {
 					assert.Equal(t, got.body, "body")
 				}
 
-				w.end()
+				w.close()
 			})
 		})
 	}
 }
 
-// end lets the targets' goroutines go, so that the bubble ends.
-func (w *world) end() {
+// close lets the targets' goroutines go, so that the bubble ends.
+func (w *fixture) close() {
 	time.Sleep(2 * time.Minute)
 	w.server.Pool.Sweep(time.Now())
 	synctest.Wait()
@@ -402,10 +402,10 @@
 // and the next caller would get somebody else's booking.
 func TestSecondAnswerIsPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, func(n int, c call, w io.Writer, _ net.Conn) {
+		w := newFixture(t, func(n int, c call, w io.Writer, _ net.Conn) {
 			id := c.header.Get("Id")
 
-			if c.on > 1 {
+			if c.onConn > 1 {
 				_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nSigned: x\r\nId: one\r\nContent-Length: 5\r\n\r\nagain")
 			}
 
@@ -418,8 +418,8 @@
 			assert.Equal(t, rec.Body.String(), id)
 		}
 
-		assert.Equal(t, w.got()[1].on, 2, "the connection was not kept, so nothing was shown")
-		w.end()
+		assert.Equal(t, w.received()[1].onConn, 2, "the connection was not kept, so nothing was shown")
+		w.close()
 	})
 }
 
@@ -428,18 +428,18 @@
 // own.
 func TestOnceUsesNewConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, func(_ int, _ call, w io.Writer, _ net.Conn) { say(w, "200 OK", "", "") },
+		w := newFixture(t, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "200 OK", "", "") },
 			route.Route{Kind: route.Once, Timeout: time.Second})
 
 		for range 3 {
 			w.do(t.Context(), "")
 		}
 
-		for _, c := range w.got() {
-			assert.Equal(t, c.on, 1)
+		for _, c := range w.received() {
+			assert.Equal(t, c.onConn, 1)
 		}
 
-		w.end()
+		w.close()
 	})
 }
 
@@ -448,7 +448,7 @@
 // takes the next request for the rest of the body.
 func TestEarlyAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, nil, route.Route{Kind: route.Idempotent, Timeout: time.Second})
+		w := newFixture(t, nil, route.Route{Kind: route.Idempotent, Timeout: time.Second})
 		w.server.Pool.Dial = func(context.Context, netip.AddrPort) (net.Conn, error) {
 			near, far := net.Pipe()
 
@@ -461,7 +461,7 @@
 					line, _ = r.ReadString('\n')
 				}
 
-				say(far, "413 Long", "", "too long")
+				writeAnswer(far, "413 Long", "", "too long")
 
 				_, _ = io.Copy(io.Discard, r)
 
@@ -473,11 +473,11 @@
 			return near, nil
 		}
 
-		rec, _ := w.do(t.Context(), strings.Repeat("x", 10*writeInline))
+		rec, _ := w.do(t.Context(), strings.Repeat("x", 10*maxInlineBody))
 		assert.Equal(t, rec.Code, http.StatusRequestEntityTooLarge)
 		synctest.Wait()
 		assert.Assert(t, !w.closed.IsZero(), "the connection was kept")
-		w.end()
+		w.close()
 	})
 }
 
@@ -486,7 +486,7 @@
 func TestCallerLeaves(t *testing.T) {
 	for _, kind := range []route.Kind{route.Once, route.Idempotent, route.Stream} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, func(int, call, io.Writer, net.Conn) {}, route.Route{Kind: kind, Timeout: 9 * time.Second})
+			w := newFixture(t, func(int, call, io.Writer, net.Conn) {}, route.Route{Kind: kind, Timeout: 9 * time.Second})
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 
 			defer cancel()
@@ -497,7 +497,7 @@
 			synctest.Wait()
 			assert.Equal(t, w.closed.Sub(began), time.Second)
 			assert.Equal(t, w.sends(), 1)
-			w.end()
+			w.close()
 		})
 	}
 }
@@ -517,14 +517,14 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, func(int, call, io.Writer, net.Conn) {}, route.Route{Kind: route.Once, Timeout: c.timeout})
+				w := newFixture(t, func(int, call, io.Writer, net.Conn) {}, route.Route{Kind: route.Once, Timeout: c.timeout})
 				began := time.Now()
 				rec, _ := w.do(t.Context(), "", "Left", c.left)
 
 				assert.Equal(t, rec.Code, http.StatusGatewayTimeout)
 				assert.Equal(t, time.Since(began), c.want)
-				assert.Equal(t, w.got()[0].header.Get("Left"), strconv.FormatInt(c.want.Milliseconds(), 10))
-				w.end()
+				assert.Equal(t, w.received()[0].header.Get("Left"), strconv.FormatInt(c.want.Milliseconds(), 10))
+				w.close()
 			})
 		})
 	}
@@ -534,8 +534,8 @@
 // their connections closed, and no stream that could not end in time.
 func TestStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		act := func(_ int, _ call, w io.Writer, _ net.Conn) { say(w, "200 OK", "", "done") }
-		w := newWorld(t, act, route.Route{Kind: route.Once, Timeout: time.Second})
+		act := func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "200 OK", "", "done") }
+		w := newFixture(t, act, route.Route{Kind: route.Once, Timeout: time.Second})
 		w.server.Enter(Closing)
 
 		rec, _ := w.do(t.Context(), "")
@@ -546,7 +546,7 @@
 		rec, _ = w.do(t.Context(), "")
 		assert.Equal(t, rec.Code, http.StatusServiceUnavailable)
 		assert.Equal(t, w.sends(), 1)
-		w.end()
+		w.close()
 	})
 }
 
@@ -555,7 +555,7 @@
 // the process.
 func TestWaitingStreamIsRefusedAtTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, nil, route.Route{Kind: route.Stream, Timeout: time.Minute})
+		w := newFixture(t, nil, route.Route{Kind: route.Stream, Timeout: time.Minute})
 		w.config.Services["s"] = route.Service{Name: "s", Engine: &route.Engine{}}
 
 		time.AfterFunc(time.Second, func() { w.server.Enter(Ending) })
@@ -566,7 +566,7 @@
 		assert.Equal(t, rec.Code, http.StatusServiceUnavailable)
 		assert.Assert(t, rec.Header().Get("Retry-After") != "")
 		assert.Assert(t, time.Since(began) <= 1100*time.Millisecond)
-		w.end()
+		w.close()
 	})
 }
 
@@ -575,7 +575,7 @@
 // would be cut off with the process instead of being told to go elsewhere.
 func TestRejectedStreamIsRefusedAtTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, func(_ int, _ call, w io.Writer, _ net.Conn) { say(w, "503 Full", "Not-Run: 1\r\n", "") },
+		w := newFixture(t, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "503 Full", "Not-Run: 1\r\n", "") },
 			route.Route{Kind: route.Stream, Timeout: time.Minute, Goal: 10 * time.Second})
 		w.server.Budgets.Allow(Allowance{Burst: 1, Window: time.Hour})
 		time.AfterFunc(time.Second, func() { w.server.Enter(Ending) })
@@ -586,7 +586,7 @@
 		assert.Equal(t, rec.Code, http.StatusServiceUnavailable)
 		assert.Assert(t, rec.Header().Get("Retry-After") != "")
 		assert.Assert(t, time.Since(began) <= 1500*time.Millisecond, "took %s", time.Since(began))
-		w.end()
+		w.close()
 	})
 }
 
@@ -595,27 +595,27 @@
 // connection would break off an answer that still comes.
 func TestSilentStreamIsKeptWithoutBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, func(_ int, _ call, w io.Writer, _ net.Conn) {
+		w := newFixture(t, func(_ int, _ call, w io.Writer, _ net.Conn) {
 			stream(w, 1, 2, false)
 			time.Sleep(3 * time.Second)
 
 			_, _ = fmt.Fprintf(w, "%x\r\n%s\r\n0\r\n\r\n", len(event(3)), event(3))
 		}, route.Route{Kind: route.Stream, Resumable: true, Timeout: 9 * time.Second})
 		w.server.Budgets.Allow(Allowance{Burst: 1, Window: time.Hour})
-		assert.Assert(t, w.server.Budgets.Take("s", time.Now()))
+		assert.Assert(t, w.server.Budgets.TryWithdraw("s", time.Now()))
 
 		rec, aborted := w.do(t.Context(), "")
 		assert.Assert(t, !aborted)
 		assert.Equal(t, rec.Body.String(), event(1)+event(2)+event(3))
 		assert.Equal(t, w.sends(), 1)
-		w.end()
+		w.close()
 	})
 }
 
 // TestProper holds the answers to requests that no target sees.
 func TestProper(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, nil, route.Route{Kind: route.Once, Timeout: time.Second})
+		w := newFixture(t, nil, route.Route{Kind: route.Once, Timeout: time.Second})
 
 		rec, _ := w.do(t.Context(), "", "Id", "")
 		assert.Equal(t, rec.Code, http.StatusBadRequest)
@@ -640,9 +640,9 @@
 // whoever shares a target with a lost answer is not blamed.
 func TestCrashingRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var w *world
+		var w *fixture
 
-		w = newWorld(t, func(_ int, c call, _ io.Writer, conn net.Conn) {
+		w = newFixture(t, func(_ int, c call, _ io.Writer, conn net.Conn) {
 			w.mu.Lock()
 			w.down[c.target] = c.body == "poison"
 			w.mu.Unlock()
@@ -656,7 +656,7 @@
 			// The targets are back as new processes.
 			synctest.Wait()
 			clear(w.down)
-			w.list(uint64(2 + i))
+			w.listTargets(uint64(2 + i))
 			time.Sleep(time.Second)
 		}
 
@@ -672,6 +672,6 @@
 		}
 
 		assert.Assert(t, w.sends() >= 4, "a request whose answers were lost was blocked")
-		w.end()
+		w.close()
 	})
 }
--- a/internal/serving/relay/server.go
+++ b/internal/serving/relay/server.go
@@ -83,38 +83,38 @@
 	}
 
 	refuse := func() {
-		s.Lines.RefuseWaiting(func(*request.Request) *request.Refusal { return stopping() })
+		s.Lines.RefuseWaiting(func(*request.Request) *request.Refusal { return stoppingRefusal() })
 	}
 
 	refuse()
 	// Again for those that were on their way into a line.
-	time.AfterFunc(stragglers, refuse)
+	time.AfterFunc(enqueueGrace, refuse)
 }
 
-// stragglers is how long after the phase began a request may still get into a
+// enqueueGrace is how long after the phase began a request may still get into a
 // line.
-const stragglers = 100 * time.Millisecond
+const enqueueGrace = 100 * time.Millisecond
 
-// stopping refuses a request because this entry stops.
-func stopping() *request.Refusal {
-	return request.Refuse(request.ShuttingDown, elsewhereRetry, "this instance is stopping")
+// stoppingRefusal refuses a request because this entry stops.
+func stoppingRefusal() *request.Refusal {
+	return request.Refuse(request.ShuttingDown, otherEntryRetry, "this instance is stopping")
 }
 
-func (s *Server) in(p Phase) bool { return Phase(s.phase.Load()) >= p }
+func (s *Server) reached(p Phase) bool { return Phase(s.phase.Load()) >= p }
 
-// elsewhereRetry is when a caller is told to come back who is only to go to
+// otherEntryRetry is when a caller is told to come back who is only to go to
 // another entry.
-const elsewhereRetry = 50 * time.Millisecond
+const otherEntryRetry = 50 * time.Millisecond
 
 // Running returns how many requests are being answered.
 func (s *Server) Running() int { return int(s.running.Load()) }
 
 const (
-	// unknownRetry is when a caller is told to come back while no
+	// noConfigRetry is when a caller is told to come back while no
 	// configuration is known: a start takes about that long.
-	unknownRetry = 500 * time.Millisecond
-	// defaultBody bounds a body while the operators say nothing.
-	defaultBody = 4 << 20
+	noConfigRetry = 500 * time.Millisecond
+	// defaultMaxBody bounds a body while the operators say nothing.
+	defaultMaxBody = 4 << 20
 )
 
 // ServeHTTP implements http.Handler.
@@ -124,20 +124,20 @@
 
 	arrived := time.Now()
 
-	if s.in(Stopping) {
+	if s.reached(Stopping) {
 		w.Header().Set("Connection", "close")
 	}
 
 	table := s.Table()
 	if table == nil {
-		s.refuse(w, r, http.StatusServiceUnavailable, unknownRetry, "no configuration is known yet")
+		s.refuse(w, r, http.StatusServiceUnavailable, noConfigRetry, "no configuration is known yet")
 
 		return
 	}
 
 	ask, badAsk := s.Protocol.Parse(r.Header)
 
-	at, err := s.locate(r, table, ask)
+	at, err := s.matchRoute(r, table, ask)
 
 	switch {
 	case at.route == nil:
@@ -159,7 +159,7 @@
 }
 
 // serve answers a request whose route and caller are known.
-func (s *Server) serve(w http.ResponseWriter, r *http.Request, ask Ask, at place, arrived time.Time) {
+func (s *Server) serve(w http.ResponseWriter, r *http.Request, ask Ask, at matchedRoute, arrived time.Time) {
 	rt, cfg := at.route, at.table.Config
 
 	left := rt.Timeout
@@ -167,7 +167,7 @@
 		left = ask.Left
 	}
 
-	d := &delivery{Server: s, w: w, r: r, route: rt, ask: ask, arrived: arrived, deadline: arrived.Add(left), version: cfg.Version, team: at.team, keyed: cfg.Teams.Len() > 0}
+	d := &delivery{Server: s, w: w, r: r, route: rt, info: ask, arrived: arrived, deadline: arrived.Add(left), version: cfg.Version, team: at.team, keysInUse: cfg.Teams.Len() > 0}
 	d.service = rt.Pick(rand.Float64()) //nolint:gosec // No secret.
 
 	if !d.charge() {
@@ -189,21 +189,21 @@
 		return
 	}
 
-	d.deliverFrom(cfg.Services[d.service])
+	d.forward(cfg.Services[d.service])
 }
 
 // refuse answers a request that was never sent to a target.
 func (s *Server) refuse(w http.ResponseWriter, r *http.Request, status int, retry time.Duration, why string) {
 	s.count("none", status)
 	s.Log.Info().Str("path", r.URL.Path).Int("status", status).Str("why", why).Msg("request refused")
-	turnAway(w, status, retry)
+	writeRefusal(w, status, retry)
 }
 
-// turnAway writes an answer without a body, and when to come back if that is
+// writeRefusal writes an answer without a body, and when to come back if that is
 // known.
-func turnAway(w http.ResponseWriter, status int, retry time.Duration) {
+func writeRefusal(w http.ResponseWriter, status int, retry time.Duration) {
 	if retry > 0 {
-		w.Header().Set("Retry-After", seconds(retry))
+		w.Header().Set("Retry-After", retryAfterSeconds(retry))
 	}
 
 	w.WriteHeader(status)
@@ -220,8 +220,8 @@
 // kindNames are the kinds of requests in metrics.
 var kindNames = map[route.Kind]string{route.Idempotent: "idempotent", route.Once: "once", route.Stream: "stream"}
 
-// measure records what became of the request.
-func (d *delivery) measure(status int) {
+// recordOutcome records what became of the request.
+func (d *delivery) recordOutcome(status int) {
 	if d.Metrics == nil {
 		return
 	}
@@ -233,8 +233,8 @@
 		d.Metrics.Counter("repeats").Inc(int64(n - 1))
 	}
 
-	if d.first > 0 {
-		d.Metrics.Tagged(map[string]string{"kind": kind}).Histogram("first_byte", metric.Latencies()).RecordDuration(d.first)
+	if d.firstByte > 0 {
+		d.Metrics.Tagged(map[string]string{"kind": kind}).Histogram("first_byte", metric.Latencies()).RecordDuration(d.firstByte)
 	}
 }
 
@@ -245,7 +245,7 @@
 	w        http.ResponseWriter
 	r        *http.Request
 	route    *route.Route
-	ask      Ask
+	info      Ask
 	arrived  time.Time
 	deadline time.Time
 	// version is that of the configuration that the request is handled under.
@@ -253,37 +253,37 @@
 	// team is the caller's, or nil where none is needed; keyed says that callers'
 	// keys open the routes.
 	team  *team.Team
-	keyed bool
+	keysInUse bool
 	// cost is what was counted against the team's limit.
 	cost    float64
 	service string
-	ranked  bool
+	prioritised  bool
 	body    []byte
 	req     *request.Request
 	trail   request.Trail
-	// ran counts the targets that may have run the request.
-	ran     int
+	// runs counts the targets that may have run the request.
+	runs     int
 	suspect bool
 	exclude []instance.ID
-	// begun says that the answer's head has gone to the caller; last is then
+	// headSent says that the answer's head has gone to the caller; last is then
 	// the id of the last event that went.
-	begun bool
-	last  string
-	cold  bool
-	first time.Duration
+	headSent bool
+	lastEvent  string
+	coldStart  bool
+	firstByte time.Duration
 	// waited is how long the request had no target, over all sendings.
 	waited time.Duration
 	// events counts the stream's events that went to the caller, the last one
 	// at heard.
 	events int
-	heard  time.Time
-	// gone says that the caller was found to have closed its connection.
-	gone atomic.Bool
-	// paid says that the next sending has its share of the repeats already.
-	paid atomic.Bool
+	lastEventAt  time.Time
+	// callerGone says that the caller was found to have closed its connection.
+	callerGone atomic.Bool
+	// retryReserved says that the next sending has its share of the repeats already.
+	retryReserved atomic.Bool
 	// fallback is a target's own failure, which the caller gets if no other
 	// target does better.
-	fallback *whole
+	fallback *bufferedAnswer
 }
 
 func (d *delivery) readBody(limits route.Limits) error {
@@ -293,7 +293,7 @@
 
 	limit := limits.BodyBytes
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBody
 	}
 
 	rc := http.NewResponseController(d.w)
@@ -310,21 +310,21 @@
 	return nil
 }
 
-// deliverFrom has the request answered by a target of the service.
-func (d *delivery) deliverFrom(service route.Service) {
+// forward has the request answered by a target of the service.
+func (d *delivery) forward(service route.Service) {
 	model := ""
 	if service.Engine != nil {
-		model, d.ranked = d.ask.Model, true
+		model, d.prioritised = d.info.Model, true
 	}
 
 	d.req = &request.Request{
-		ID:       d.ask.ID,
-		EngineID: d.ask.ID,
+		ID:       d.info.ID,
+		EngineID: d.info.ID,
 		Customer: d.customer(),
 		Model:    Key(d.service, model),
-		Prompt:   d.digest(),
+		Prompt:   d.contentDigest(),
 		Priority: max(0, maxWeight-d.priority()),
-		Deadline: d.startBy(),
+		Deadline: d.queueDeadline(),
 		Arrived:  d.arrived,
 	}
 	if d.route.Goal > 0 {
@@ -334,39 +334,39 @@
 	ctx, cancel := context.WithDeadline(d.r.Context(), d.deadline)
 	defer cancel()
 
-	defer watchCaller(ctx, func() {
-		d.gone.Store(true)
+	defer watchClose(ctx, func() {
+		d.callerGone.Store(true)
 		cancel()
 	})()
 
 	if wait, stopped := d.Lines.Stopped(d.req.Fingerprint()); stopped {
-		d.end(request.Refuse(request.Poisoned, wait, "this request has crashed the targets that ran it"))
+		d.finish(request.Refuse(request.Poisoned, wait, "this request has crashed the targets that ran it"))
 
 		return
 	}
 
-	if d.in(Closing) && d.route.Kind == route.Stream {
-		d.end(stopping())
+	if d.reached(Closing) && d.route.Kind == route.Stream {
+		d.finish(stoppingRefusal())
 
 		return
 	}
 
 	d.suspect = d.Lines.Suspect(d.req.Fingerprint())
-	d.end(d.run(ctx))
+	d.finish(d.run(ctx))
 }
 
-// waitShare is the part of a caller's patience for which a stream waits in
+// queueShare is the part of a caller's patience for which a stream waits in
 // line. What has not begun by then is refused while its caller is still there
 // to come back; held to the end, it would leave with nothing.
-const waitShare = 0.7
+const queueShare = 0.7
 
-// startBy returns until when the request may wait in line.
-func (d *delivery) startBy() time.Time {
+// queueDeadline returns until when the request may wait in line.
+func (d *delivery) queueDeadline() time.Time {
 	if d.route.Kind != route.Stream {
 		return d.deadline
 	}
 
-	patience := time.Duration(waitShare * float64(d.route.Patience()))
+	patience := time.Duration(queueShare * float64(d.route.Patience()))
 	if by := d.arrived.Add(patience); by.Before(d.deadline) {
 		return by
 	}
@@ -377,10 +377,10 @@
 // maxWeight is the weight of the most urgent route's requests in line.
 const maxWeight = 9
 
-// digest identifies what the caller asks for, whatever the attempt.
-func (d *delivery) digest() string {
+// contentDigest identifies what the caller asks for, whatever the attempt.
+func (d *delivery) contentDigest() string {
 	h := xxhash.New()
-	for _, s := range []string{d.r.Method, d.r.Host, d.r.RequestURI, d.ask.Prompt} {
+	for _, s := range []string{d.r.Method, d.r.Host, d.r.RequestURI, d.info.Prompt} {
 		_, _ = h.WriteString(s)
 		_, _ = h.WriteString("\x00")
 	}
@@ -390,50 +390,50 @@
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// end gives the request its final answer if it has none, and says so.
-func (d *delivery) end(err error) {
-	line := d.Log.Info().Str("id", d.ask.ID).Str("route", d.route.Name).Str("team", d.teamName()).Float64("cost", d.cost).Uint64("config", d.version).
-		Str("key", d.req.Model).Int("sends", d.trail.Sends()).Bool("cold", d.cold).
-		Dur("goal", d.route.Goal).Dur("left", d.deadline.Sub(d.arrived)).Dur("waited", d.waited).Dur("first", d.first).Dur("took", time.Since(d.arrived))
+// finish gives the request its final answer if it has none, and says so.
+func (d *delivery) finish(err error) {
+	line := d.Log.Info().Str("id", d.info.ID).Str("route", d.route.Name).Str("team", d.teamName()).Float64("cost", d.cost).Uint64("config", d.version).
+		Str("key", d.req.Model).Int("sends", d.trail.Sends()).Bool("cold", d.coldStart).
+		Dur("goal", d.route.Goal).Dur("left", d.deadline.Sub(d.arrived)).Dur("waited", d.waited).Dur("first", d.firstByte).Dur("took", time.Since(d.arrived))
 
 	if d.events > 0 {
-		line = line.Int("events", d.events).Dur("quiet", time.Since(d.heard))
+		line = line.Int("events", d.events).Dur("quiet", time.Since(d.lastEventAt))
 	}
 
 	switch {
 	case err == nil:
-		d.measure(http.StatusOK)
+		d.recordOutcome(http.StatusOK)
 		line.Msg("request answered")
 
 		return
-	case d.r.Context().Err() != nil || d.gone.Load():
-		d.measure(0)
+	case d.r.Context().Err() != nil || d.callerGone.Load():
+		d.recordOutcome(0)
 		line.Err(err).Msg("caller left")
 
 		return
-	case d.begun:
-		d.measure(0)
+	case d.headSent:
+		d.recordOutcome(0)
 		line.Err(err).Msg("answer broken off")
 		// Only a closed connection tells the caller that the rest is missing.
 		panic(http.ErrAbortHandler)
 	case d.fallback != nil:
-		d.measure(d.fallback.status)
+		d.recordOutcome(d.fallback.status)
 		line.Err(err).Int("status", d.fallback.status).Msg("failure of a target passed on")
 		d.fallback.write(d)
 
 		return
 	}
 
-	status, retry := d.verdict(err)
-	d.measure(status)
+	status, retry := d.refusalStatus(err)
+	d.recordOutcome(status)
 	line.Err(err).Int("status", status).Dur("retryAfter", retry).Msg("request refused")
 
-	turnAway(d.w, status, retry)
+	writeRefusal(d.w, status, retry)
 }
 
-// verdict returns the status that says no more than is proved. Only 503
+// refusalStatus returns the status that says no more than is proved. Only 503
 // promises that the request has not run.
-func (d *delivery) verdict(err error) (int, time.Duration) {
+func (d *delivery) refusalStatus(err error) (int, time.Duration) {
 	run := d.trail.Verdict()
 	late := errors.Is(err, context.DeadlineExceeded)
 
@@ -444,7 +444,7 @@
 		return http.StatusBadGateway, 0
 	}
 
-	retry := minRetry
+	retry := defaultRetryAfter
 
 	var refusal *request.Refusal
 	if errors.As(err, &refusal) && refusal.RetryAfter > 0 {
@@ -454,6 +454,6 @@
 	return http.StatusServiceUnavailable, retry
 }
 
-// minRetry is what a caller is told when nothing is known of when it would be
+// defaultRetryAfter is what a caller is told when nothing is known of when it would be
 // served.
-const minRetry = 250 * time.Millisecond
+const defaultRetryAfter = 250 * time.Millisecond
