--- a/internal/serving/gateway/counts.go
+++ b/internal/serving/gateway/counts.go
@@ -11,10 +11,10 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/request"
 )
 
-// Counts counts answers and refusals per plan. The zero value is ready.
+// Counts counts answers and refusals by plan. The zero value is ready to use.
 type Counts struct{ plans sync.Map }
 
-// planCount is one plan's counts.
+// planCount holds the counts of one plan.
 type planCount struct {
 	answered atomic.Int64
 	tokens   atomic.Int64
--- a/internal/serving/gateway/gateway.go
+++ b/internal/serving/gateway/gateway.go
@@ -1,4 +1,4 @@
-// Package gateway is the callers' side of an entry: HTTP handlers that admit
+// Package gateway is the client side of an entry: HTTP handlers that admit
 // requests and write answers and refusals.
 package gateway
 
@@ -28,7 +28,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/caller"
 )
 
-// Config is what a gateway works with.
+// Config configures a gateway.
 type Config struct {
 	Lists    *list.Register
 	Shares   *limit.Shares
@@ -40,21 +40,22 @@
 	MaxBody  int64
 	// Draining reports whether the entry is shutting down.
 	Draining func() bool
-	// Settled reports whether a process can no longer be running a claim.
+	// Settled reports whether the process that took a claim can no longer be
+	// running the call.
 	Settled func(p claim.Pending) bool
 }
 
-// Gateway serves callers. Create it with New.
+// Gateway serves clients. Create it with New.
 type Gateway struct {
 	cfg    Config
 	mux    *http.ServeMux
 	counts Counts
-	// running maps a running request's engine id to its *admission.
-	running sync.Map
-	callCounts   callCounts
+	// running maps the engine id of a request in flight to its *runningRequest.
+	running    sync.Map
+	callCounts callCounts
 }
 
-// runningRequest is one admitted request.
+// runningRequest is an admitted request in flight.
 type runningRequest struct {
 	plan   plan.Plan
 	model  string
@@ -80,7 +81,7 @@
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) { g.mux.ServeHTTP(w, r) }
 
-// Counts returns what was counted per plan.
+// Counts returns the counts of each plan.
 func (g *Gateway) Counts() []peer.PlanCount {
 	return g.counts.planCounts(g.cfg.Shares, g.cfg.Dispatch.Waiting())
 }
@@ -93,7 +94,7 @@
 	maxTimeout      = 10 * time.Minute
 )
 
-// call is one HTTP request on its way through the gateway.
+// call is an HTTP request in the gateway.
 type call struct {
 	w        http.ResponseWriter
 	r        *http.Request
@@ -103,8 +104,8 @@
 	deadline time.Time
 }
 
-// begin identifies the caller and the deadline. It answers the request itself
-// and returns nil when it is refused.
+// begin authenticates the client and determines the deadline. If the request is
+// refused, begin writes the refusal and returns nil.
 func (g *Gateway) begin(w http.ResponseWriter, r *http.Request) *call {
 	c := &call{w: w, r: r, id: requestID(r), arrived: time.Now()}
 	w.Header().Set(requestIDHeader, c.id)
@@ -154,7 +155,7 @@
 	return id
 }
 
-// TimeoutError says that a request's timeout cannot be used.
+// TimeoutError reports a request whose timeout is invalid.
 type TimeoutError struct{ Text string }
 
 func (e *TimeoutError) Error() string {
@@ -192,8 +193,8 @@
 	_, _ = c.w.Write(caller.EncodeRefusal(r))
 }
 
-// readBody reads a bounded body. It answers the request itself when the body
-// is too large or broken off.
+// readBody reads a body of limited size. If the body is too large or
+// incomplete, readBody writes the refusal and returns false.
 func (g *Gateway) readBody(c *call) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, g.cfg.MaxBody))
 	if err == nil {
@@ -203,13 +204,14 @@
 	if tooLarge, ok := errors.AsType[*http.MaxBytesError](err); ok {
 		g.refuse(c, request.Refuse(request.TooLarge, 0, fmt.Sprintf("the body is larger than %d bytes", tooLarge.Limit)))
 	} else {
-		g.refuse(c, request.Refuse(request.BadRequest, 0, "the body was broken off: "+err.Error()))
+		g.refuse(c, request.Refuse(request.BadRequest, 0, "the body is incomplete: "+err.Error()))
 	}
 
 	return nil, false
 }
 
-// admit counts the request against its plan's limits.
+// admit charges the request to its plan's limits. If they refuse it, admit
+// writes the refusal and returns false.
 func (g *Gateway) admit(c *call) bool {
 	retryAfter, ok := g.cfg.Shares.Admit(c.r.Context(), c.plan)
 	if !ok {
@@ -219,8 +221,8 @@
 	return ok
 }
 
-// track registers the running request, so that a change of the lists can end
-// it.
+// track registers the request as in flight, so that a change of the lists can
+// cancel it.
 func (g *Gateway) track(c *call, id, model string) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(c.r.Context())
 	g.running.Store(id, &runningRequest{plan: c.plan, model: model, cancel: cancel})
@@ -231,8 +233,8 @@
 	}
 }
 
-// ListsChanged refuses waiting requests that the lists no longer allow, and
-// ends running ones of removed plans if the plan's rule says so.
+// ListsChanged refuses queued requests that the lists do not allow after the
+// change, and cancels running ones of removed plans if the plan's rule says so.
 func (g *Gateway) ListsChanged() {
 	lists := g.cfg.Lists.Current()
 
@@ -258,7 +260,7 @@
 	})
 }
 
-// Running returns how many requests are in the gateway.
+// Running returns the number of requests in flight.
 func (g *Gateway) Running() int {
 	n := 0
 
--- a/internal/serving/gateway/generate.go
+++ b/internal/serving/gateway/generate.go
@@ -24,7 +24,8 @@
 	g.generate(w, r, caller.DecodeCompletion)
 }
 
-// generate serves one request for a model, from its body to its last token.
+// generate serves one request for a model, from reading its body to writing the
+// last token.
 func (g *Gateway) generate(w http.ResponseWriter, r *http.Request, decode func([]byte) (caller.Call, error)) {
 	c := g.begin(w, r)
 	if c == nil {
@@ -104,20 +105,20 @@
 	return res, err
 }
 
-// fail tells the caller why there is no whole answer.
+// fail writes the reason why there is no complete answer.
 func (g *Gateway) fail(ctx context.Context, c *call, out responder, err error) {
 	var refusal *request.Refusal
 
 	switch {
 	case errors.As(context.Cause(ctx), &refusal):
-		// The lists changed under a running request. It was sent, so the
-		// refusal must not say otherwise.
+		// A change of the lists cancelled the running request. It was sent, so
+		// the refusal must not say that it did not run.
 		removed := *refusal
 		removed.Run = request.MayHaveRun
 		refusal = &removed
 	case errors.As(err, &refusal):
 	default:
-		// The caller has left. Nobody reads what is written.
+		// The client has left, so there is no answer to write.
 		return
 	}
 
@@ -130,16 +131,16 @@
 	g.counts.refused(c.plan.Name, refusal.Code)
 }
 
-// responder writes one answer.
+// responder writes an answer.
 type responder interface {
 	dispatch.Sink
 	finish(res dispatch.Result) error
-	// refuseLate refuses after part of the answer was written. It reports
-	// false when nothing was written yet.
+	// refuseLate writes the refusal after part of the answer. It returns false
+	// if nothing was written yet.
 	refuseLate(r *request.Refusal) bool
 }
 
-// wholeResponder gathers the answer and writes it at its end.
+// wholeResponder buffers the answer and writes it at its end.
 type wholeResponder struct {
 	c      *call
 	answer *caller.Answer
@@ -168,7 +169,7 @@
 
 func (o *wholeResponder) refuseLate(*request.Refusal) bool { return false }
 
-// eventWriteTimeout is how long a caller may take to read one token.
+// eventWriteTimeout is how long a client may take to read one token.
 const eventWriteTimeout = 10 * time.Second
 
 // streamResponder writes each token as a server-sent event.
@@ -177,7 +178,7 @@
 	answer  *caller.Answer
 	control *http.ResponseController
 	buf     []byte
-	started   bool
+	started bool
 }
 
 // Token implements dispatch.Sink.
@@ -221,8 +222,8 @@
 	return o.write()
 }
 
-// refuseLate ends the stream with the refusal in place of the end mark, so
-// that a cut answer cannot be taken for a whole one.
+// refuseLate ends the stream with the refusal in place of the end mark, so that
+// a truncated answer cannot be taken for a complete one.
 func (o *streamResponder) refuseLate(r *request.Refusal) bool {
 	if !o.started {
 		return false
--- a/internal/serving/gateway/service.go
+++ b/internal/serving/gateway/service.go
@@ -22,7 +22,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/request"
 )
 
-// callCounts counts the callCounts on each service target.
+// callCounts counts the calls in flight on each service target.
 type callCounts struct{ running sync.Map }
 
 func (c *callCounts) of(id instance.ID) *atomic.Int64 {
@@ -31,10 +31,10 @@
 	return n.(*atomic.Int64) //nolint:forcetypeassert // The map holds nothing else.
 }
 
-// choose returns the less busy of two random live targets.
+// choose returns the target with fewer calls in flight of two random ones.
 func (c *callCounts) choose(targets []instance.Instance) instance.Instance {
-	a := targets[rand.IntN(len(targets))] //nolint:gosec // No secret.
-	b := targets[rand.IntN(len(targets))] //nolint:gosec // No secret.
+	a := targets[rand.IntN(len(targets))] //nolint:gosec // Not a secret.
+	b := targets[rand.IntN(len(targets))] //nolint:gosec // Not a secret.
 
 	if c.of(b.ID).Load() < c.of(a.ID).Load() {
 		return b
@@ -43,7 +43,7 @@
 	return a
 }
 
-// serviceCall is one call of a plain service.
+// serviceCall is a call to a plain service.
 type serviceCall struct {
 	*call
 
@@ -97,8 +97,8 @@
 	}
 }
 
-// retryable reports whether a call with this method may be sent again. The
-// methods are those that HTTP calls safe.
+// retryable reports whether a call with this method may be retried. These are
+// the methods that HTTP defines as safe.
 func retryable(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
@@ -108,11 +108,11 @@
 	return false
 }
 
-// maxServiceAttempts bounds how often a repeatable call is sent.
+// maxServiceAttempts limits the attempts of a call.
 const maxServiceAttempts = 3
 
 func (g *Gateway) callWithRetries(ctx context.Context, s *serviceCall) {
-	var last error
+	var lastErr error
 
 	for range maxServiceAttempts {
 		a, err := g.send(ctx, s)
@@ -122,17 +122,17 @@
 			return
 		}
 
-		last = err
+		lastErr = err
 
 		if ctx.Err() != nil {
 			break
 		}
 	}
 
-	g.refuse(s.call, s.refusal(ctx, last))
+	g.refuse(s.call, s.refusal(ctx, lastErr))
 }
 
-// refusal says truthfully why there is no answer.
+// refusal returns the refusal for err, which states no more than is proved.
 func (s *serviceCall) refusal(ctx context.Context, err error) *request.Refusal {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return s.trail.Refuse(request.DeadlinePast, time.Second, "the service did not answer in time")
@@ -148,7 +148,7 @@
 
 	outcome, err := g.cfg.Claims.Take(ctx, key, digest)
 
-	for try := 0; err == nil; try++ {
+	for polls := 0; err == nil; polls++ {
 		switch o := outcome.(type) {
 		case claim.Won:
 			g.sendOnce(ctx, s, o.Claim)
@@ -173,7 +173,7 @@
 				return
 			}
 
-			if !waitForClaim(ctx, try) {
+			if !waitForClaim(ctx, polls) {
 				if !errors.Is(ctx.Err(), context.Canceled) {
 					g.refuse(s.call, inDoubt(time.Second))
 				}
@@ -188,11 +188,11 @@
 		}
 	}
 
-	// Without a proved claim nothing was sent, by this entry under this call.
+	// Without a confirmed claim, this entry sent nothing for this call.
 	g.refuse(s.call, request.Refuse(request.StoreDown, time.Second, "the claim cannot be written: "+err.Error()))
 }
 
-// inDoubt refuses a repeat of a call that was sent and may have run.
+// inDoubt refuses a retry of a call that was sent and may have run.
 func inDoubt(retryAfter time.Duration) *request.Refusal {
 	return &request.Refusal{
 		Code: request.InDoubt, Run: request.MayHaveRun, RetryAfter: retryAfter,
@@ -200,26 +200,26 @@
 	}
 }
 
-// waitForClaim waits before a pending claim is looked at again, longer each time. It
-// reports false when the call's time is up.
-func waitForClaim(ctx context.Context, try int) bool {
-	const base, most = 25 * time.Millisecond, 5
+// waitForClaim waits before a pending claim is read again, longer each time. It
+// returns false if the call's time is up.
+func waitForClaim(ctx context.Context, polls int) bool {
+	const base, maxDoublings = 25 * time.Millisecond, 5
 
-	return clock.Sleep(ctx, base<<min(try, most)) == nil
+	return clock.Sleep(ctx, base<<min(polls, maxDoublings)) == nil
 }
 
-// storeTimeout bounds how long an answer is tried to be stored after its
-// caller has got it.
+// storeTimeout limits how long storing an answer is retried after the client
+// received it.
 const storeTimeout = 2 * time.Minute
 
-// sendOnce sends a claimed call. Targets that were not reached are passed
-// over; after the first byte went out it is never sent again.
+// sendOnce sends a claimed call. It tries another target if one was not
+// reached; once the first byte was sent, it never sends the call again.
 func (g *Gateway) sendOnce(ctx context.Context, s *serviceCall, c *claim.Claim) {
 	g.cfg.Log.Add(timeline.Event{Kind: timeline.Claimed, Request: s.id, Customer: s.plan.Customer, Detail: s.service})
 
 	var (
-		a    claim.Answer
-		last error = &noTargetError{s.service}
+		a       claim.Answer
+		lastErr error = &noTargetError{s.service}
 	)
 
 	for range maxServiceAttempts {
@@ -227,19 +227,19 @@
 			break
 		}
 
-		a, last = g.send(ctx, s)
-		if last == nil || s.trail.Verdict() != request.NotRun {
+		a, lastErr = g.send(ctx, s)
+		if lastErr == nil || s.trail.Verdict() != request.NotRun {
 			break
 		}
 	}
 
-	// What became of the call must be stored even if its caller has left.
+	// The outcome of the call must be stored even if its client has left.
 	store, cancel := context.WithTimeout(context.WithoutCancel(ctx), storeTimeout)
 
 	switch {
-	case last == nil:
-		// The answer is stored before the caller sees it, if the store is
-		// there, so that a repeat finds it.
+	case lastErr == nil:
+		// The answer is stored before the client receives it, if the store is
+		// available, so that a retry finds it.
 		g.storeThenWrite(store, cancel, s, c, a)
 	case s.trail.Verdict() == request.NotRun:
 		defer cancel()
@@ -248,7 +248,7 @@
 			g.cfg.Metrics.Counter("claimsNotWithdrawn").Inc(1)
 		}
 
-		g.refuse(s.call, s.refusal(ctx, last))
+		g.refuse(s.call, s.refusal(ctx, lastErr))
 	default:
 		go func() {
 			defer cancel()
@@ -256,11 +256,12 @@
 			_ = g.cfg.Claims.Doubt(store, c)
 		}()
 
-		g.refuse(s.call, s.refusal(ctx, last))
+		g.refuse(s.call, s.refusal(ctx, lastErr))
 	}
 }
 
-// withdraw gives up a claim, in the background if the store is slow.
+// withdraw withdraws a claim. If the store is slow, it goes on in the
+// background.
 func (g *Gateway) withdraw(ctx context.Context, c *claim.Claim) error {
 	done := make(chan error, 1)
 
@@ -274,9 +275,9 @@
 	}
 }
 
-// storeWait is how long a caller waits for its answer to be stored. If the
-// store is away for longer, the caller gets the answer and the storing goes
-// on; a repeat then waits or learns that the call may have run.
+// storeWait is how long a client waits for its answer to be stored. If the
+// store is unavailable for longer, the client gets the answer and storing it
+// continues; a retry then waits, or is answered that the call may have run.
 const storeWait = 500 * time.Millisecond
 
 func (g *Gateway) storeThenWrite(
@@ -312,21 +313,21 @@
 	g.counts.answered(s.plan.Name, 0)
 }
 
-// noTargetError says that no live target of the service is known.
+// noTargetError reports that the service has no live target.
 type noTargetError struct{ service string }
 
 func (e *noTargetError) Error() string { return "no live target of service " + e.service }
 
-// maxAnswer bounds a service's answer.
+// maxAnswer limits the size of a service's answer.
 const maxAnswer = 8 << 20
 
-// send sends the call to one target, on a connection dialled for it alone.
+// send sends the call to one target, on a connection dialled for this call
+// alone.
 //
-// Two failures are guarded against. A kept-alive connection may be closed by
-// the other end just as the call goes out, and the HTTP library would then
-// send the call again on its own; and a connection may have gone silent for
-// good. Neither can happen on a connection that was established a moment ago
-// for this call, and the library retries only on reused ones.
+// A reused connection has two faults. The other end may close it just as the
+// call is sent, and the HTTP library, which retries only on reused connections,
+// would then send the call a second time. It may also have broken without a
+// reset. Neither can happen on a connection that was just established.
 func (g *Gateway) send(ctx context.Context, s *serviceCall) (claim.Answer, error) {
 	targets := g.liveTargets(s.service)
 	if len(targets) == 0 {
@@ -341,8 +342,8 @@
 
 	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", t.Address.String())
 	if err != nil {
-		sending := s.trail.Send()
-		s.trail.Learn(sending, request.NotReached)
+		attempt := s.trail.Send()
+		s.trail.Learn(attempt, request.NotReached)
 
 		return claim.Answer{}, err
 	}
@@ -363,7 +364,7 @@
 	return live
 }
 
-// exchange writes the call on conn and reads its answer.
+// exchange sends the call on conn and reads its answer.
 func (g *Gateway) exchange(ctx context.Context, s *serviceCall, t instance.Instance, conn net.Conn) (claim.Answer, error) {
 	tr := &http.Transport{
 		DisableKeepAlives:  true,
@@ -382,7 +383,7 @@
 
 	g.cfg.Log.Add(timeline.Event{Kind: timeline.Sent, Request: s.id, Target: t.ID, Customer: s.plan.Customer, Detail: s.service})
 
-	sending := s.trail.Send()
+	attempt := s.trail.Send()
 
 	resp, err := tr.RoundTrip(req)
 	if err != nil {
@@ -390,7 +391,7 @@
 	}
 	defer resp.Body.Close()
 
-	s.trail.Learn(sending, request.Begun)
+	s.trail.Learn(attempt, request.Begun)
 
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
 	if err != nil {
@@ -401,7 +402,7 @@
 		return claim.Answer{}, &answerTooLargeError{}
 	}
 
-	s.trail.Learn(sending, request.Completed)
+	s.trail.Learn(attempt, request.Completed)
 
 	return claim.Answer{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
 }
@@ -410,7 +411,7 @@
 
 func (*answerTooLargeError) Error() string { return "the answer is too large" }
 
-// copyHeaders passes on what concerns the service.
+// copyHeaders copies the headers that are meant for the service.
 func copyHeaders(to, from http.Header) {
 	for _, name := range []string{"Content-Type", "Accept", keyHeader} {
 		if v := from.Get(name); v != "" {
--- a/internal/serving/relay/budget.go
+++ b/internal/serving/relay/budget.go
@@ -5,43 +5,43 @@
 	"time"
 )
 
-// Allowance is what the operators allow all entries together for sending
-// requests once more: in each window a share of the requests, and a burst.
+// Allowance is the operators' limit on the retries of all entries together: in
+// each window, Ratio times the number of requests plus Burst.
 type Allowance struct {
 	Ratio float64
 	Burst float64
-	// Window is the span over which the burst is granted once.
+	// Window is the period over which the burst is granted once.
 	Window time.Duration
 }
 
-// usableShare is the part of the allowance that is used. The rest covers requests
-// that are counted on one side of a window's edge and repeated on the other.
+// usableShare is the part of the limit that is used. The rest covers requests
+// that are counted on one side of a window's boundary and retried on the other.
 const usableShare = 0.85
 
-// Budgets holds a budget for each service. Set Allowance before use.
+// Budgets holds a retry budget for each service. Set Allowance before use.
 //
-// It guards against a storm of retries when targets fail in numbers. Each
-// entry has an even share of the burst, and earns from its own requests, so
-// the entries together keep the bound without talking to each other.
+// Budgets prevents a retry storm when many targets fail at once. Each entry has
+// an equal share of the burst and adds to its budget with its own requests, so
+// the entries together stay within the limit without coordination.
 type Budgets struct {
 	Allowance Allowance
-	// Started is when this process started; zero means long ago. A process
-	// begins with nothing: the one before it on its instance may have spent
-	// everything right before its end.
+	// Started is when this process started; zero means long ago. The budgets of
+	// a new process start empty, because the previous process on its instance
+	// may have spent the whole budget just before it ended.
 	Started time.Time
 
-	mu     sync.Mutex
-	share  float64
+	mu      sync.Mutex
+	share   float64
 	buckets map[string]*bucket
 }
 
-// bucket is a bucket of sendings.
+// bucket is a token bucket; a token pays for one retry.
 type bucket struct {
-	tokens float64
-	updated   time.Time
+	tokens  float64
+	updated time.Time
 }
 
-// Allow replaces the allowance, because the settings changed.
+// Allow replaces the limit after a change of the settings.
 func (b *Budgets) Allow(a Allowance) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -49,7 +49,7 @@
 	b.Allowance = a
 }
 
-// Share sets how many entries there are.
+// Share sets the number of entries that share the burst.
 func (b *Budgets) Share(entries int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -57,60 +57,63 @@
 	b.share = 1 / float64(max(1, entries))
 }
 
-// Deposit counts a first sending to a service.
+// Deposit adds the share of a retry that a request's first attempt earns for
+// its service.
 func (b *Budgets) Deposit(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	l := b.bucket(service, now)
-	l.tokens = min(l.tokens+b.Allowance.Ratio*usableShare, b.capacity())
+	bk := b.bucket(service, now)
+	bk.tokens = min(bk.tokens+b.Allowance.Ratio*usableShare, b.capacity())
 }
 
-// TryWithdraw takes one more sending to a service, if it is allowed.
+// TryWithdraw reports whether a request to the service may be retried, and
+// debits one token if so.
 func (b *Budgets) TryWithdraw(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	l := b.bucket(service, now)
-	if l.tokens < 1 {
+	bk := b.bucket(service, now)
+	if bk.tokens < 1 {
 		return false
 	}
 
-	l.tokens--
+	bk.tokens--
 
 	return true
 }
 
-// halfBurst is halfBurst of this entry's share of the burst. A bucket holds that much, and
-// as much flows in over a window, so that no window sees more than all.
-func (b *Budgets) halfBurst() float64 { return b.Allowance.Burst * usableShare * b.share / 2 } //nolint:mnd // Halves.
+// halfBurst is half of this entry's share of the burst. A bucket holds that
+// much and is refilled with as much in each window, so that no window sees more
+// than the whole share.
+func (b *Budgets) halfBurst() float64 { return b.Allowance.Burst * usableShare * b.share / 2 } //nolint:mnd // Half of the share.
 
-// capacity is what a bucket holds; with less than one sending it would never allow
-// any.
+// capacity is what a bucket holds: at least one token, since a smaller bucket
+// would never allow a retry.
 func (b *Budgets) capacity() float64 { return max(1, b.halfBurst()) }
 
-// bucket returns the service's bucket with what has flowed in since its last
+// bucket returns the service's bucket, refilled for the time since its last
 // use.
 func (b *Budgets) bucket(service string, now time.Time) *bucket {
 	if b.buckets == nil {
 		b.buckets = make(map[string]*bucket)
 	}
 
-	l := b.buckets[service]
-	if l == nil {
-		l = &bucket{tokens: b.capacity(), updated: now}
+	bk := b.buckets[service]
+	if bk == nil {
+		bk = &bucket{tokens: b.capacity(), updated: now}
 		if !b.Started.IsZero() {
-			l.tokens, l.updated = 0, b.Started
+			bk.tokens, bk.updated = 0, b.Started
 		}
 
-		b.buckets[service] = l
+		b.buckets[service] = bk
 	}
 
 	if b.Allowance.Window > 0 {
-		l.tokens = min(l.tokens+b.halfBurst()*float64(now.Sub(l.updated))/float64(b.Allowance.Window), b.capacity())
+		bk.tokens = min(bk.tokens+b.halfBurst()*float64(now.Sub(bk.updated))/float64(b.Allowance.Window), b.capacity())
 	}
 
-	l.updated = now
+	bk.updated = now
 
-	return l
+	return bk
 }
--- a/internal/serving/relay/budget_test.go
+++ b/internal/serving/relay/budget_test.go
@@ -8,11 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-// TestBudgetsKeepTheBound: targets fail in numbers and every entry repeats as
-// much as it may. In no window do all of them together repeat more than the
-// operators allow, also when entries are killed and start again meanwhile: on a
-// played day 83 of them lost power at once, and the fresh ones repeated 684
-// requests in a window that allowed 649.
+// TestBudgetsKeepTheBound checks that the retries of all entries together stay
+// within the operators' limit in every window, when targets fail in large
+// numbers and every entry retries as much as its budget allows. Entries also
+// crash and restart meanwhile: when 83 of them restarted at once with full
+// budgets, they made 684 retries in a window that allowed 649.
 func TestBudgetsKeepTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
@@ -56,7 +56,7 @@
 				n++
 			}
 
-			// Requests are counted in the window and the one before it.
+			// Counts the requests of the window and the one before it.
 			asked := 0
 
 			for _, at := range requests {
--- a/internal/serving/relay/caller.go
+++ b/internal/serving/relay/caller.go
@@ -9,27 +9,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// connKey is the key of a caller's connection in a request's context.
+// connKey is the context key of the client's connection.
 type connKey struct{}
 
-// WithCaller keeps a caller's connection for Server; it is the ConnContext of
-// the http.Server in front of it.
+// WithCaller stores the client's connection in the context for Server. Use it
+// as the ConnContext of the http.Server in front.
 func WithCaller(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// closeCheckInterval is the time between two looks whether a caller is still there.
-// Targets must have stopped half a second after it left.
+// closeCheckInterval is the time between two checks of a client's connection.
+// Targets must stop within half a second after the client closed it.
 const closeCheckInterval = 200 * time.Millisecond
 
-// watchClose calls leave when the caller has closed its connection, until ctx
-// has ended and the function that it returns was called.
+// watchClose calls onClose when the client has closed its connection. It stops
+// once ctx has ended and the returned function was called.
 //
-// It guards against a caller that closes behind bytes that nobody has read,
-// such as a further request: the HTTP server stops reading at them and does not
-// see the close, so that targets would work on until the request's deadline.
-// The connection's state tells of the close whatever is unread.
-func watchClose(ctx context.Context, leave func()) (end func()) {
+// The HTTP server stops reading at bytes that it has not consumed, such as a
+// pipelined request, and does not notice a close behind them; targets would
+// then work on until the request's deadline. The state of the TCP connection
+// shows the close regardless of unread bytes.
+func watchClose(ctx context.Context, onClose func()) (stop func()) {
 	c, ok := ctx.Value(connKey{}).(syscall.Conn)
 	if !ok {
 		return func() {}
@@ -37,50 +37,53 @@
 
 	raw, err := c.SyscallConn()
 	if err != nil {
-		// A connection that is closed already, which its reader sees as well.
+		// The connection is closed already, which the HTTP server notices as
+		// well.
 		return func() {}
 	}
 
-	var t *time.Timer
+	var timer *time.Timer
 
 	ready := make(chan struct{})
-	t = time.AfterFunc(closeCheckInterval, func() {
+	timer = time.AfterFunc(closeCheckInterval, func() {
 		<-ready
 
 		if remoteClosed(raw) {
-			leave()
+			onClose()
 
 			return
 		}
 
-		// A look that ran while the watch was ended must not begin it again.
+		// A check that was running when the watch ended must not restart it.
 		if ctx.Err() == nil {
-			t.Reset(closeCheckInterval)
+			timer.Reset(closeCheckInterval)
 		}
 	})
 
 	close(ready)
 
-	return func() { t.Stop() }
+	return func() { timer.Stop() }
 }
 
-// The states of a connection whose other end has closed it, as the kernel
-// numbers them.
+// TCP states, as the kernel numbers them, of a connection that the other end
+// has closed.
 const (
 	tcpClose     = 7
 	tcpCloseWait = 8
 )
 
-// remoteClosed reports whether the other end has remoteClosed or reset the connection.
+// remoteClosed reports whether the other end has closed or reset the
+// connection.
 func remoteClosed(raw syscall.RawConn) bool {
 	var (
 		info *unix.TCPInfo
 		err  error
 	)
 
-	ctrl := raw.Control(func(fd uintptr) { info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) })
-	if ctrl != nil || err != nil {
-		// Not a TCP connection, or closed here: others see its end.
+	ctrlErr := raw.Control(func(fd uintptr) { info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) })
+	if ctrlErr != nil || err != nil {
+		// Not a TCP connection, or closed on this side, which is noticed
+		// elsewhere.
 		return false
 	}
 
--- a/internal/serving/relay/caller_test.go
+++ b/internal/serving/relay/caller_test.go
@@ -17,16 +17,16 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/route"
 )
 
-// TestCallerLeavesBehindBytes: a caller sends a request and, behind it on the
-// same connection, the beginning of another, then closes. The HTTP server does
-// not read on while it answers, so it does not see the close. The target must
-// still be left within half a second, not at the deadline.
-func TestCallerLeavesBehindBytes(t *testing.T) {
+// TestClientClosesBehindUnreadBytes covers a client that sends a request and,
+// on the same connection, the beginning of another, then closes. The HTTP
+// server does not read while it answers, so it does not notice the close. The
+// target must still be stopped within half a second, not at the deadline.
+func TestClientClosesBehindUnreadBytes(t *testing.T) {
 	asked, left := make(chan struct{}), make(chan struct{})
 	w := newFixture(t, func(_ int, _ call, _ io.Writer, c net.Conn) {
 		close(asked)
 
-		_, _ = io.Copy(io.Discard, c) // It returns when the entry closes.
+		_, _ = io.Copy(io.Discard, c) // Returns when the entry closes the connection.
 
 		close(left)
 	}, route.Route{Kind: route.Stream, Timeout: 9 * time.Second})
@@ -49,17 +49,17 @@
 
 	_, err = fmt.Fprint(c, "POST /p/ HT")
 	assert.NilError(t, err)
-	time.Sleep(50 * time.Millisecond) // So that the server takes these bytes before it could see the close.
+	time.Sleep(50 * time.Millisecond) // The server must read these bytes before it could notice the close.
 	assert.NilError(t, c.Close())
 
 	select {
 	case <-left:
 	case <-time.After(4 * time.Second):
-		t.Fatal("the target was still at work when its caller had left")
+		t.Fatal("the target still worked after its client had left")
 	}
 }
 
-// slowConn is a caller's connection whose state takes a while to be read.
+// slowConn is a client's connection whose state takes a while to read.
 type slowConn struct {
 	net.Conn
 
@@ -68,7 +68,7 @@
 
 func (s slowConn) SyscallConn() (syscall.RawConn, error) { return slowRawConn{looks: s.looks}, nil }
 
-// slowRawConn is its raw side.
+// slowRawConn is the raw connection of a slowConn.
 type slowRawConn struct {
 	syscall.RawConn
 
@@ -82,17 +82,17 @@
 	return net.ErrClosed
 }
 
-// TestWatchEnds: a request ends while a look at its caller's connection is on
-// its way. The looks must end with it; each one left behind would go on five
-// times a second for as long as the process lives.
+// TestWatchEnds covers a request that ends during a check of its client's
+// connection. The checks must end with it; otherwise each request would leave a
+// check behind that runs five times a second for the life of the process.
 func TestWatchEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var looks atomic.Int64
 
 		ctx, cancel := context.WithCancel(WithCaller(t.Context(), slowConn{looks: &looks}))
-		end := watchClose(ctx, func() { t.Error("the caller is still there") })
+		end := watchClose(ctx, func() { t.Error("the client has not closed its connection") })
 
-		time.Sleep(closeCheckInterval + closeCheckInterval/4) // In the middle of the first look.
+		time.Sleep(closeCheckInterval + closeCheckInterval/4) // During the first check.
 		end()
 		cancel()
 		time.Sleep(time.Minute)
--- a/internal/serving/relay/conn.go
+++ b/internal/serving/relay/conn.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection to a target: two data
-	// centres are a millisecond apart, and a lost first packet is sent again
-	// after a second.
+	// dialTimeout limits how long a connection to a target may take to open.
+	// Two data centres are a millisecond apart, and a lost first packet is
+	// retransmitted after a second.
 	dialTimeout = 1100 * time.Millisecond
-	// maxIdleTime is how long an idle connection is kept when the target does
-	// not say, and idleMargin how long before the target's own time it is
-	// dropped, so that a request does not cross the target's close.
-	maxIdleTime   = 2 * time.Second
-	idleMargin = 500 * time.Millisecond
-	// maxHeadBytes bounds the bytes of an answer's head.
+	// maxIdleTime is how long an idle connection is kept if the target names no
+	// time. idleMargin is how long before the target's own timeout it is
+	// closed, so that a request does not cross the target's close.
+	maxIdleTime = 2 * time.Second
+	idleMargin  = 500 * time.Millisecond
+	// maxHeadBytes limits the size of an answer's head.
 	maxHeadBytes = 64 << 10
-	// maxIdleConns bounds the idle connections to one target.
+	// maxIdleConns limits the idle connections to one target.
 	maxIdleConns = 8
 )
 
-// targetKey names a target's process at an address.
+// targetKey identifies a target at an address.
 type targetKey struct {
 	id      instance.ID
 	address netip.AddrPort
 }
 
-// conn is a connection to a target. One request at a time is on it.
+// conn is a connection to a target. It carries one request at a time.
 type conn struct {
 	net.Conn
 
 	key targetKey
-	// head bounds what is read of an answer's head.
-	head  *io.LimitedReader
-	r     *bufio.Reader
-	w     *bufio.Writer
-	uses  int
-	idleSince time.Time
-	idleTimeout  time.Duration
+	// head limits the bytes that are read of an answer's head.
+	head        *io.LimitedReader
+	r           *bufio.Reader
+	w           *bufio.Writer
+	uses        int
+	idleSince   time.Time
+	idleTimeout time.Duration
 }
 
 // Pool keeps idle connections to targets. The zero value dials plain TCP.
@@ -59,9 +59,9 @@
 	idle map[targetKey][]*conn
 }
 
-// get returns an idle connection, or a new one. A request that may not be
-// repeated asks for a new one, because an answer to an earlier request may
-// still be on its way on any other.
+// get returns an idle connection, or a new one if there is none or fresh is
+// set. Requests that must not be retried use a new one, because on any other
+// the answer to an earlier request may still arrive.
 func (p *Pool) get(ctx context.Context, key targetKey, fresh bool) (*conn, error) {
 	for !fresh {
 		c := p.takeIdle(key)
@@ -110,11 +110,13 @@
 	return c
 }
 
-// put keeps a connection on which the last answer was read to its end.
-func (p *Pool) put(c *conn, keep time.Duration) {
+// put returns a connection to the pool after the last answer was read
+// completely. timeout is how long the target keeps an idle connection open, or
+// zero if that is unknown.
+func (p *Pool) put(c *conn, timeout time.Duration) {
 	c.idleSince, c.idleTimeout = time.Now(), maxIdleTime
-	if keep > 0 {
-		c.idleTimeout = min(maxIdleTime, keep-idleMargin)
+	if timeout > 0 {
+		c.idleTimeout = min(maxIdleTime, timeout-idleMargin)
 	}
 
 	p.mu.Lock()
@@ -155,8 +157,8 @@
 	}
 }
 
-// usable reports whether nothing has come in on an idle connection: neither
-// its end nor bytes, which would be taken for the answer to the next request.
+// usable reports whether an idle connection has received neither a close nor
+// bytes, which would be taken for the answer to the next request.
 func (c *conn) usable(now time.Time) bool {
 	if now.Sub(c.idleSince) >= c.idleTimeout {
 		return false
@@ -172,53 +174,52 @@
 		return false
 	}
 
-	quiet := false
+	idle := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = n <= 0 && errors.Is(err, syscall.EAGAIN)
+		idle = n <= 0 && errors.Is(err, syscall.EAGAIN)
 
 		return true
 	})
 
-	return err == nil && quiet
+	return err == nil && idle
 }
 
 const (
-	// keepAliveInterval and keepAliveCount bound the life of a connection that
-	// went silent: the other end is asked after a second and given up after
-	// two more.
+	// keepAliveInterval and keepAliveCount limit how long an unresponsive
+	// connection stays open: it is probed after a second without traffic and
+	// closed after two further probes.
 	keepAliveInterval = time.Second
-	keepAliveCount = 2
-	// userTimeout bounds how long sent bytes may stay unacknowledged.
+	keepAliveCount    = 2
+	// userTimeout limits how long sent bytes may stay unacknowledged.
 	userTimeout = 3 * time.Second
-	// tcpUserTimeout is Linux's option, which package syscall does not name.
+	// tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall lacks.
 	tcpUserTimeout = 18
 )
 
-// KeepAlive is how silent connections are found on all connections of a
+// KeepAlive returns the TCP keep-alive configuration for all connections of a
 // process.
 func KeepAlive() net.KeepAliveConfig {
 	return net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveCount}
 }
 
-// Control bounds how long bytes may stay unacknowledged on a socket.
+// Control limits how long sent bytes may stay unacknowledged on a socket.
 //
-// It guards against connections that go silent without a reset: a peer behind
-// a partition answers nothing, and a write alone would wait for minutes.
+// A partition can break a connection without a reset. A write alone would then
+// wait for minutes.
 func Control(_, _ string, c syscall.RawConn) error {
-	var failed error
+	var optErr error
 
 	err := c.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout.Milliseconds()))
+		optErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout.Milliseconds()))
 	})
 
-	return errors.Join(err, failed)
+	return errors.Join(err, optErr)
 }
 
-// Dialer returns a dialer whose connections find out when their other end is
-// silent.
+// Dialer returns a dialer whose connections detect an unresponsive other end.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{Timeout: timeout, KeepAliveConfig: KeepAlive(), Control: Control}
 }
--- a/internal/serving/relay/deliver.go
+++ b/internal/serving/relay/deliver.go
@@ -19,17 +19,18 @@
 )
 
 const (
-	// maxAttempts bounds how often one request is sent, whatever the budget says.
+	// maxAttempts limits the attempts of one request, whatever the retry budget
+	// allows.
 	maxAttempts = 8
-	// rejectionBackoff is the pause after a target said that it did not run a
-	// request, doubled each time: a load that ends later than foretold is late
-	// by a tenth of a second or two.
+	// rejectionBackoff is the pause after a target reported that it did not run
+	// a request. It doubles with each attempt: a load that ends later than
+	// predicted is 100 to 200 ms late.
 	rejectionBackoff = 60 * time.Millisecond
-	// maxAnswerBytes bounds an answer that is held until it is whole.
+	// maxAnswerBytes limits the size of an answer that is buffered.
 	maxAnswerBytes = 16 << 20
 )
 
-// RejectedError says that a target did not run the request.
+// RejectedError reports that a target did not run the request.
 type RejectedError struct {
 	Target instance.ID
 	Status int
@@ -39,7 +40,7 @@
 	return fmt.Sprintf("target %s: not run, status %d", e.Target, e.Status)
 }
 
-// FailedError says that a target answered with a failure of its own.
+// FailedError reports that a target answered with an error of its own.
 type FailedError struct {
 	Target instance.ID
 	Status int
@@ -49,14 +50,14 @@
 	return fmt.Sprintf("target %s: failed with status %d", e.Target, e.Status)
 }
 
-// callerError is a failure of the caller's side.
+// callerError is a failure to write to the client.
 type callerError struct{ err error }
 
-func (e *callerError) Error() string { return "caller: " + e.err.Error() }
+func (e *callerError) Error() string { return "write to client: " + e.err.Error() }
 
 func (e *callerError) Unwrap() error { return e.err }
 
-// run sends the request until it is answered or must not be sent again.
+// run makes attempts until the request is answered or must not be retried.
 func (d *delivery) run(ctx context.Context) error {
 	for {
 		t, err := d.acquire(ctx)
@@ -76,8 +77,8 @@
 		}
 
 		if ctx.Err() != nil {
-			// The connection was closed because the time is up or the caller
-			// left, which is what the answer goes by.
+			// The deadline or the client's close has closed the connection to
+			// the target; the answer depends on that cause.
 			err = errors.Join(ctx.Err(), err)
 		}
 
@@ -89,8 +90,8 @@
 
 		d.exclude = append(d.exclude[:0], t.ID)
 
-		if again := d.awaitRetry(ctx, err); again != nil {
-			return errors.Join(again, err)
+		if retryErr := d.awaitRetry(ctx, err); retryErr != nil {
+			return errors.Join(retryErr, err)
 		}
 	}
 }
@@ -105,14 +106,14 @@
 		q.Affinity = d.req.Model + " " + d.info.Shared
 	}
 
-	asked := time.Now()
-	late := time.AfterFunc(waitLogDelay, func() { d.logWaiting() })
+	began := time.Now()
+	waitLog := time.AfterFunc(waitLogDelay, func() { d.logWaiting() })
 	t, cold, err := d.Lines.Acquire(ctx, d.req, q)
 
-	late.Stop()
+	waitLog.Stop()
 
 	d.coldStart = d.coldStart || cold
-	d.waited += time.Since(asked)
+	d.waited += time.Since(began)
 
 	if err == nil {
 		d.logChoice(t)
@@ -121,34 +122,35 @@
 	return t, err
 }
 
-// waitLogDelay is how long a request has no target before a line says so: most
-// have one at once, and the line that ends a request tells of short waits.
+// waitLogDelay is how long a request waits for a target before that is logged.
+// Most requests get a target at once, and the request's last log line includes
+// short waits.
 const waitLogDelay = 50 * time.Millisecond
 
-// logWaiting says that a request waits, and what the targets that hold its
-// model cannot take it for.
+// logWaiting logs that a request waits and why the targets that hold its model
+// cannot accept it.
 func (d *delivery) logWaiting() {
 	s := d.Lines.Standing(d.req.Model)
 	d.Log.Info().Str("id", d.info.ID).Str("key", d.req.Model).Int("holders", s.Holders).Int("full", s.Full).
 		Int("leaving", s.Leaving).Int("dead", s.Dead).Int("ejected", s.Ejected).Msg("request waits")
 }
 
-// logChoice says which target was chosen, and by what.
+// logChoice logs the chosen target and the figures behind the choice.
 func (d *delivery) logChoice(t *router.Target) {
 	info := t.Info()
 	d.Log.Info().Str("id", d.info.ID).Str("key", d.req.Model).Str("target", string(t.ID)).Int("own", t.Own()).
 		Int("running", info.Running).Int("slots", info.Slots).Dur("age", t.ReportAge(time.Now())).Msg("target chosen")
 }
 
-// mayRetry reports whether the request may be sent once more after err.
+// mayRetry reports whether the request may be retried after err.
 func (d *delivery) mayRetry(ctx context.Context, err error) bool {
-	var caller *callerError
-	if errors.As(err, &caller) || ctx.Err() != nil || d.trail.Sends() >= maxAttempts || d.reached(Ending) && !d.headSent {
+	var clientErr *callerError
+	if errors.As(err, &clientErr) || ctx.Err() != nil || d.trail.Sends() >= maxAttempts || d.reached(Ending) && !d.headSent {
 		return false
 	}
 
-	var poisoned *request.Refusal
-	if errors.As(err, &poisoned) {
+	var refusal *request.Refusal
+	if errors.As(err, &refusal) {
 		return false
 	}
 
@@ -170,15 +172,15 @@
 	return errors.As(err, &dial) || errors.As(err, &rejected)
 }
 
-// RetryBudgetError says that a request may not be sent once more.
+// RetryBudgetError reports that the service's retry budget is exhausted.
 type RetryBudgetError struct{ Service string }
 
 func (e *RetryBudgetError) Error() string { return "no repeat left for service " + e.Service }
 
-// awaitRetry waits until the request may be sent once more. One that did not reach
-// its target takes no share of the repeats, which bound what arrives at targets.
-// One that was rejected gives its target a moment, and waits for its share as
-// long as it may wait in line; for any other the share must be there now.
+// awaitRetry waits until the request may be retried. The retry budget limits
+// the requests that reach targets, so a request that did not reach its target
+// costs nothing. A rejected one backs off, then waits for its budget as long as
+// it may stay queued. For any other, the budget must allow the retry at once.
 func (d *delivery) awaitRetry(ctx context.Context, err error) error {
 	var (
 		dial     *DialError
@@ -196,7 +198,7 @@
 		return &RetryBudgetError{Service: d.service}
 	}
 
-	if err := clock.Sleep(ctx, rejectionBackoff<<min(d.trail.Sends()-1, 3)); err != nil { //nolint:mnd // At most eightfold.
+	if err := clock.Sleep(ctx, rejectionBackoff<<min(d.trail.Sends()-1, 3)); err != nil { //nolint:mnd // At most 8 times the base.
 		return err
 	}
 
@@ -217,12 +219,12 @@
 	return nil
 }
 
-// budgetPollInterval is how often a rejected request asks for its share of the
-// repeats: an entry's share of the burst flows back at about one in three
+// budgetPollInterval is how often a rejected request checks the retry budget.
+// An entry's share of the burst is refilled at about one retry in three
 // seconds, and its requests earn more.
 const budgetPollInterval = 250 * time.Millisecond
 
-// attempt sends the request to the target and passes its answer on.
+// attempt sends the request to the target and forwards its answer.
 func (d *delivery) attempt(ctx context.Context, t *router.Target) error {
 	n := d.trail.Send()
 	sent := time.Now()
@@ -231,15 +233,15 @@
 		d.Budgets.Deposit(d.service, sent)
 	}
 
-	last := d.lastEvent
-	if last == "" {
-		last = d.info.After
+	lastEvent := d.lastEvent
+	if lastEvent == "" {
+		lastEvent = d.info.After
 	}
 
 	out := &outgoing{
 		method: d.r.Method, uri: d.r.RequestURI, host: d.r.Host, id: d.info.ID,
 		header: d.Protocol.Outgoing(d.r.Header, Sending{
-			Left: d.deadline.Sub(sent), Target: t.ID, After: last, Ranked: d.prioritised, Priority: d.priority(),
+			Left: d.deadline.Sub(sent), Target: t.ID, After: lastEvent, Ranked: d.prioritised, Priority: d.priority(),
 			Keyed: d.keysInUse, Team: d.teamName(),
 		}),
 		body: d.body, hasBody: d.r.ContentLength != 0, newConn: !d.route.Repeatable(),
@@ -263,7 +265,7 @@
 	return nil
 }
 
-// handleSendError judges a sending without an answer.
+// handleSendError records an attempt that got no answer.
 func (d *delivery) handleSendError(ctx context.Context, t *router.Target, n int, err error) error {
 	var dial *DialError
 	if errors.As(err, &dial) {
@@ -291,8 +293,8 @@
 	}
 }
 
-// recordDeath records that a target's process takes no connection, and reports
-// whether that is news, which is then passed on.
+// recordDeath records that a target's process accepts no connection. It reports
+// whether that was unknown before; Unreached is then called.
 func (d *delivery) recordDeath(t *router.Target, incarnation string, now time.Time) bool {
 	if !t.Died(incarnation, now) {
 		return false
@@ -325,16 +327,16 @@
 	return &RejectedError{Target: t.ID, Status: a.StatusCode}
 }
 
-// checkCrash finds out whether the target died under the request.
+// checkCrash checks whether the target died while it ran the request.
 //
-// It guards against a request that crashes every target that runs it: a target
-// counts as dead only if it refuses a new connection right after, so that a
-// lost answer alone blames nobody.
+// Requests that crash every target that runs them must be blocked. A target
+// counts as dead only if it refuses a new connection right after the failure,
+// so that a lost answer alone makes no request suspect.
 func (d *delivery) checkCrash(ctx context.Context, t *router.Target, err error) error {
-	var caller *callerError
+	var clientErr *callerError
 
 	var failed *FailedError
-	if errors.As(err, &caller) || errors.As(err, &failed) || ctx.Err() != nil {
+	if errors.As(err, &clientErr) || errors.As(err, &failed) || ctx.Err() != nil {
 		return err
 	}
 
@@ -365,14 +367,15 @@
 	return err
 }
 
-// connectionBroken reports whether a connection ended under a request.
+// connectionBroken reports whether the error is a connection that ended during
+// a request.
 func connectionBroken(err error) bool {
 	var opErr *net.OpError
 
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.As(err, &opErr)
 }
 
-// bufferedAnswer is an answer that was read to its end.
+// bufferedAnswer is an answer that was read completely.
 type bufferedAnswer struct {
 	status int
 	header http.Header
@@ -385,16 +388,16 @@
 		h[name] = values
 	}
 
-	if _, typed := h["Content-Type"]; !typed {
-		// The target named no type, so none is guessed.
+	if _, hasType := h["Content-Type"]; !hasType {
+		// The target set no type. Prevent net/http from guessing one.
 		h["Content-Type"] = nil
 	}
 
 	d.w.WriteHeader(a.status)
-	_, _ = d.w.Write(a.body) // A caller that left gets nothing, and the server notices.
+	_, _ = d.w.Write(a.body) // The server notices a client that has left.
 }
 
-// deliverAnswer passes a target's answer on.
+// deliverAnswer forwards a target's answer.
 func (d *delivery) deliverAnswer(t *router.Target, n int, a *answer, sent time.Time) error {
 	if !a.mark.Signed || a.Header.Get("Content-Encoding") != "" {
 		a.abandon()
@@ -416,22 +419,22 @@
 	a.release()
 	d.trail.Learn(n, request.Completed)
 
-	got := &bufferedAnswer{status: a.StatusCode, header: d.Protocol.Incoming(a.Header), body: body}
+	whole := &bufferedAnswer{status: a.StatusCode, header: d.Protocol.Incoming(a.Header), body: body}
 
 	if a.StatusCode >= http.StatusInternalServerError {
-		d.fallback = got
+		d.fallback = whole
 
 		return &FailedError{Target: t.ID, Status: a.StatusCode}
 	}
 
 	if d.headSent {
-		// A resumed stream was answered with something else.
+		// A resumed stream must be answered with a stream.
 		return &FailedError{Target: t.ID, Status: a.StatusCode}
 	}
 
 	d.firstByte = time.Since(d.arrived)
 	t.Succeeded(time.Since(sent), t.Own())
-	got.write(d)
+	whole.write(d)
 
 	return nil
 }
--- a/internal/serving/relay/exchange.go
+++ b/internal/serving/relay/exchange.go
@@ -13,59 +13,60 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/router"
 )
 
-// outgoing is a request as it goes to a target.
+// outgoing is a request as it is sent to a target.
 type outgoing struct {
 	method, uri, host string
 	header            http.Header
 	body              []byte
-	// hasBody says that the caller sent a body, which may be empty.
+	// hasBody is set if the client sent a body, which may be empty.
 	hasBody bool
 	id      string
-	// newConn asks for a new connection.
+	// newConn requires a new connection.
 	newConn bool
 }
 
-// answer is the head of a target's answer and the rest of it.
+// answer is a target's answer: its head, and the body that is still to be read.
 type answer struct {
 	*http.Response
 
 	mark Mark
 	conn *conn
-	// longBody says that the target may have answered before it had read the whole
-	// request.
+	// longBody is set if the target may have answered before it had read the
+	// whole request.
 	longBody bool
-	pool *Pool
-	stop func() bool
+	pool     *Pool
+	stop     func() bool
 }
 
-// DialError says that no byte of a request reached the target.
+// DialError reports that no byte of a request reached the target.
 type DialError struct{ Err error }
 
 func (e *DialError) Error() string { return fmt.Sprintf("not reached: %v", e.Err) }
 
 func (e *DialError) Unwrap() error { return e.Err }
 
-// InvalidAnswerError says that what came back is no answer to the request.
+// InvalidAnswerError reports that the bytes received are not a valid answer to
+// the request.
 type InvalidAnswerError struct{ Reason string }
 
-func (e *InvalidAnswerError) Error() string { return "no answer: " + e.Reason }
+func (e *InvalidAnswerError) Error() string { return "invalid answer: " + e.Reason }
 
 const (
-	// maxInlineBody is up to what size a body is written before the answer is
-	// read. A target may answer before it has read a longer one, and the small
-	// windows of the links would then block the writer.
+	// maxInlineBody is the largest body that is written completely before the
+	// answer is read. A target may answer before it has read a longer one, and
+	// the small TCP windows of the links would then block the writer.
 	maxInlineBody = 16 << 10
-	// maxInterim bounds the interim answers before the final one.
+	// maxInterim limits the interim (1xx) answers before the final one.
 	maxInterim = 4
-	// maxStrayAnswers bounds the answers to earlier requests that are passed over.
+	// maxStrayAnswers limits the answers to earlier requests that are skipped.
 	maxStrayAnswers = 2
-	// maxStrayBody bounds the body of such an answer.
+	// maxStrayBody limits the body of such an answer.
 	maxStrayBody = 256 << 10
 )
 
-// exchange sends the request on a connection to the target and returns the
-// head of the answer. When ctx ends, the connection is closed under way, so
-// that the target stops its work.
+// exchange sends the request on a connection to the target and returns the head
+// of the answer. If ctx ends meanwhile, it closes the connection, so that the
+// target stops its work.
 func (p *Pool) exchange(ctx context.Context, t *router.Target, out *outgoing, proto Protocol) (*answer, error) {
 	c, err := p.get(ctx, targetKey{t.ID, t.Address}, out.newConn)
 	if err != nil {
@@ -92,13 +93,13 @@
 	long := len(out.body) > maxInlineBody
 
 	if long {
-		go func() { _ = c.write(out) }() // A failed write shows as a missing answer.
+		go func() { _ = c.write(out) }() // A failed write shows up as a missing answer.
 	} else if err := c.write(out); err != nil {
 		return nil, err
 	}
 
 	for range maxStrayAnswers + 1 {
-		resp, err := c.readHead(out.method) //nolint:bodyclose // The answer owns it, and the connection is closed otherwise.
+		resp, err := c.readHead(out.method) //nolint:bodyclose // The answer owns the body; on errors the connection is closed.
 		if err != nil {
 			return nil, err
 		}
@@ -116,13 +117,13 @@
 	return nil, &InvalidAnswerError{Reason: "answers to other requests"}
 }
 
-// skipAnswer reads an answer to another request to its end.
+// skipAnswer reads and discards an answer to another request.
 //
-// It guards against a target that answers an earlier request twice: the second
-// answer arrives where the next one is expected, and without its id a caller
-// would get somebody else's answer.
+// A target may answer an earlier request twice. The second answer then arrives
+// in place of the next one, and without the check of its id a client would get
+// the answer to another client's request.
 func (c *conn) skipAnswer(resp *http.Response) error {
-	if c.uses < 2 || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 { //nolint:mnd // The first use has no earlier request.
+	if c.uses < 2 || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 { //nolint:mnd // On its first use, a connection has no earlier request.
 		return &InvalidAnswerError{Reason: "answer to another request"}
 	}
 
@@ -154,7 +155,7 @@
 	return nil, &InvalidAnswerError{Reason: "too many interim answers"}
 }
 
-// write sends the request as it came, but for the headers.
+// write sends the client's request with the outgoing headers.
 func (c *conn) write(out *outgoing) error {
 	w := c.w
 
@@ -185,19 +186,19 @@
 	return w.Flush()
 }
 
-// framed reports whether the answer says itself where it ends. Otherwise it
-// ends with its connection.
+// framed reports whether the answer states its own length. Otherwise it ends
+// with its connection.
 func (a *answer) framed() bool { return a.ContentLength >= 0 || len(a.TransferEncoding) > 0 }
 
-// release gives the connection back after the whole answer was read.
+// release returns the connection to the pool after the whole answer was read.
 func (a *answer) release() {
 	if !a.stop() {
-		// The request was given up, and the connection is closed.
+		// The request was cancelled, and the connection is closed.
 		return
 	}
 
-	// A target that answered early takes what it reads next for the rest of the
-	// request, and nothing tells whether it did.
+	// A target that answered early may take the next bytes for the rest of the
+	// request, and there is no sign of whether it did.
 	if a.longBody || a.Close || !a.framed() || a.ProtoMajor != 1 || a.ProtoMinor != 1 {
 		a.conn.Close()
 
@@ -207,21 +208,21 @@
 	a.pool.put(a.conn, a.mark.KeepAlive)
 }
 
-// abandon closes the connection, because the answer is not wanted or broken.
+// abandon closes the connection of an answer that is invalid or not needed.
 func (a *answer) abandon() {
 	a.stop()
 	a.conn.Close()
 }
 
-// maxEvent bounds the bytes of one event.
+// maxEvent limits the size of one event.
 const maxEvent = 1 << 20
 
-// events reads a stream event by event.
+// events reads the events of a stream.
 type events struct{ r *bufio.Reader }
 
-// next returns the next event with its closing blank line, and its id. The
-// bytes are valid until the next call. An event that is cut is returned with
-// the error.
+// next returns the next event, with its closing blank line, and its id. The
+// bytes are valid until the next call. A truncated event is returned together
+// with the error.
 func (e *events) next(buf []byte) (event []byte, id string, err error) {
 	buf = buf[:0]
 
@@ -229,7 +230,7 @@
 		line, err := e.r.ReadSlice('\n')
 		buf = append(buf, line...)
 
-		if err != nil && err != bufio.ErrBufferFull { //nolint:errorlint // The reader returns it bare.
+		if err != nil && err != bufio.ErrBufferFull { //nolint:errorlint // ReadSlice returns it unwrapped.
 			return buf, id, err
 		}
 
@@ -252,8 +253,8 @@
 	}
 }
 
-// isAfter reports whether an event's id lies behind the last one passed on.
-// Ids that are no numbers are taken as they come.
+// isAfter reports whether an event's id is greater than that of the last event
+// forwarded. Ids that are not numbers count as greater.
 func isAfter(id, last string) bool {
 	a, errA := strconv.ParseInt(id, 10, 64)
 	b, errB := strconv.ParseInt(last, 10, 64)
--- a/internal/serving/relay/identify.go
+++ b/internal/serving/relay/identify.go
@@ -12,36 +12,37 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/route"
 )
 
-// Limiter counts teams' requests against their limits.
+// Limiter charges requests to their teams' limits.
 type Limiter interface {
-	// Charge counts a request of the team, or refuses it.
+	// Charge charges a request to the team's limit, or refuses it.
 	Charge(ctx context.Context, t *team.Team, cost float64) Charge
-	// Refund gives back what was counted for a request that did not run.
+	// Refund returns what was charged for a request that did not run.
 	Refund(t *team.Team, cost float64)
 }
 
-// Charge is a limiter's answer.
+// Charge is a limiter's decision on a request.
 type Charge struct {
 	Granted bool
-	// Unknown says that nobody could be asked who knows what is left.
+	// Unknown is set if no owner of the limit could state what is left of it.
 	Unknown bool
-	// Part is how much of the limit was decided on, from 0 to 1.
+	// Part is the fraction of the limit whose owners took part in the decision,
+	// from 0 to 1.
 	Part float64
-	// RetryAfter is when the limit has room again.
+	// RetryAfter is when the limit allows the request again.
 	RetryAfter time.Duration
 }
 
-// UnknownKeyError says that no team has a caller's key. It never holds the
-// key.
+// UnknownKeyError reports that no team has the client's key. It never contains
+// the key.
 type UnknownKeyError struct{}
 
 func (e *UnknownKeyError) Error() string { return "no team has the caller's key" }
 
-// identify returns the team of the caller, or nil where a route is open to all.
-// It fails with a *key.MissingError or an *UnidentifiedError.
+// identify returns the client's team, or nil if the route needs none. It fails
+// with a *key.MissingError or an *UnknownKeyError.
 func identify(c *route.Config, rt *route.Route, credentials []string) (*team.Team, error) {
 	if c.Teams.Len() == 0 {
-		return nil, nil //nolint:nilnil // Without teams nobody has one.
+		return nil, nil //nolint:nilnil // Without teams, routes are open to all.
 	}
 
 	k, err := key.FromHeader(credentials)
@@ -54,26 +55,26 @@
 	}
 
 	if rt.Public {
-		return nil, nil //nolint:nilnil // As above.
+		return nil, nil //nolint:nilnil // A public route needs no team.
 	}
 
 	return nil, err
 }
 
-// matchedRoute is what a request is handled under.
+// matchedRoute is the route and the team of a request, with the table that they
+// come from.
 type matchedRoute struct {
 	table *route.Table
 	route *route.Route
 	team  *team.Team
 }
 
-// matchRoute finds the route and the team of a request. Where the key is unknown it
-// makes sure first that no newer configuration knows it.
-//
-// It guards against refusing callers with new keys on entries that learn of
-// changes a moment later than others.
-func (s *Server) matchRoute(r *http.Request, table *route.Table, ask Ask) (matchedRoute, error) {
-	p, err := matchIn(r, table, ask)
+// matchRoute finds the route and the team of a request. If the key is unknown,
+// it first makes sure that no newer configuration contains it. Entries that
+// receive a change later than others would otherwise refuse clients with new
+// keys.
+func (s *Server) matchRoute(r *http.Request, table *route.Table, info Ask) (matchedRoute, error) {
+	p, err := matchIn(r, table, info)
 
 	var unknown *UnknownKeyError
 	if s.Confirm == nil || !errors.As(err, &unknown) {
@@ -83,13 +84,13 @@
 	s.Confirm(r.Context())
 
 	if newer := s.Table(); newer != table {
-		return matchIn(r, newer, ask)
+		return matchIn(r, newer, info)
 	}
 
 	return p, err
 }
 
-func matchIn(r *http.Request, table *route.Table, ask Ask) (matchedRoute, error) {
+func matchIn(r *http.Request, table *route.Table, info Ask) (matchedRoute, error) {
 	p := matchedRoute{table: table, route: table.Match(r.Host, r.URL.EscapedPath())}
 	if p.route == nil {
 		return p, nil
@@ -97,20 +98,21 @@
 
 	var err error
 
-	p.team, err = identify(table.Config, p.route, ask.Credentials)
+	p.team, err = identify(table.Config, p.route, info.Credentials)
 
 	return p, err
 }
 
-// challenge tells a caller without a key that opens the route how to bring one.
+// challenge is the authentication scheme that a client without a valid key is
+// asked to use.
 const challenge = "Bearer"
 
-// limitUnknownRetryAfter is when a caller is told to come back whose team's limit
-// nobody could be asked about.
+// limitUnknownRetryAfter is the Retry-After of a refusal because no owner could
+// state what is left of the team's limit.
 const limitUnknownRetryAfter = 400 * time.Millisecond
 
-// charge counts the request against its team's limit. It answers the request
-// itself and reports false when it is refused.
+// charge charges the request to its team's limit. If the limit refuses it,
+// charge writes the refusal and returns false.
 func (d *delivery) charge() bool {
 	if d.Limits == nil || d.team == nil || !d.team.Limit.Bounded() {
 		return true
@@ -118,37 +120,38 @@
 
 	cost := d.team.Limit.Cost(d.info.TokensIn+d.info.TokensOut, d.info.TokensNamed)
 	began := time.Now()
-	got := d.Limits.Charge(d.r.Context(), d.team, cost)
+	result := d.Limits.Charge(d.r.Context(), d.team, cost)
 	took := time.Since(began)
 
-	if got.Granted {
+	if result.Granted {
 		d.cost = cost
 
 		return true
 	}
 
-	status, retry, why := http.StatusTooManyRequests, got.RetryAfter, "the team's limit is used up"
-	if got.Unknown {
-		status, retry, why = http.StatusServiceUnavailable, limitUnknownRetryAfter, "nobody answers who knows the team's limit"
+	status, retryAfter, why := http.StatusTooManyRequests, result.RetryAfter, "the team's limit is used up"
+	if result.Unknown {
+		status, retryAfter, why = http.StatusServiceUnavailable, limitUnknownRetryAfter, "no owner could state what is left of the team's limit"
 	}
 
 	d.Log.Info().Str("id", d.info.ID).Str("team", d.team.Name).Float64("cost", cost).
-		Float64("perSecond", d.team.Limit.PerSecond).Float64("burst", d.team.Limit.Burst).Float64("part", got.Part).Dur("asked", took).
-		Int("status", status).Dur("retryAfter", retry).Str("why", why).Msg("request refused")
+		Float64("perSecond", d.team.Limit.PerSecond).Float64("burst", d.team.Limit.Burst).Float64("part", result.Part).Dur("asked", took).
+		Int("status", status).Dur("retryAfter", retryAfter).Str("why", why).Msg("request refused")
 	d.count(kindNames[d.route.Kind], status)
-	writeRefusal(d.w, status, retry)
+	writeRefusal(d.w, status, retryAfter)
 
 	return false
 }
 
-// refund gives back what was counted, if the request has provably not run.
+// refund returns what was charged if the request provably did not run.
 func (d *delivery) refund() {
 	if d.cost > 0 && d.trail.Verdict() == request.NotRun {
 		d.Limits.Refund(d.team, d.cost)
 	}
 }
 
-// priority returns the rank of the request: its team's, or its route's.
+// priority returns the request's priority: its team's if that has one, else its
+// route's.
 func (d *delivery) priority() int {
 	if d.team != nil && d.team.Ranked {
 		return d.team.Priority
@@ -165,7 +168,8 @@
 	return d.team.Name
 }
 
-// customer returns between whom lines are fair: teams, or routes without them.
+// customer returns the name by which queues share capacity fairly: the team's,
+// or the route's if there is no team.
 func (d *delivery) customer() string {
 	if d.team != nil {
 		return d.team.Name
--- a/internal/serving/relay/identify_test.go
+++ b/internal/serving/relay/identify_test.go
@@ -20,7 +20,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/route"
 )
 
-// keyedProtocol is testProtocol for callers with keys.
+// keyedProtocol is testProtocol for clients with keys.
 type keyedProtocol struct{ testProtocol }
 
 func (p keyedProtocol) Parse(h http.Header) (Ask, error) {
@@ -57,7 +57,8 @@
 	return team.Team{Name: name, Keys: []key.Digest{key.DigestOf(text)}}
 }
 
-// newKeyedFixture is a world whose route asks for keys.
+// newKeyedFixture returns a fixture whose route requires keys unless it is
+// public.
 func newKeyedFixture(t *testing.T, public bool) *fixture {
 	t.Helper()
 
@@ -72,7 +73,7 @@
 	return w
 }
 
-func TestIdentified(t *testing.T) {
+func TestAuthentication(t *testing.T) {
 	cases := map[string]struct {
 		public        bool
 		authorization string
@@ -80,12 +81,12 @@
 		team          string
 	}{
 		"a team's key":                 {false, "Bearer ka", 200, "a"},
-		"another's":                    {false, "bearer  kb", 200, "b"},
-		"none":                         {false, "", 401, ""},
-		"unknown":                      {false, "Bearer kc", 401, ""},
+		"another team's key":           {false, "bearer  kb", 200, "b"},
+		"no key":                       {false, "", 401, ""},
+		"unknown key":                  {false, "Bearer kc", 401, ""},
 		"another scheme":               {false, "Basic ka", 401, ""},
-		"none on a public route":       {true, "", 200, ""},
-		"unknown on a public route":    {true, "Bearer kc", 200, ""},
+		"no key on a public route":     {true, "", 200, ""},
+		"unknown key on public route":  {true, "Bearer kc", 200, ""},
 		"a team's key on public route": {true, "Bearer ka", 200, "a"},
 	}
 
@@ -118,7 +119,8 @@
 	}
 }
 
-// TestTeamPriority: a team's rank goes before its route's.
+// TestTeamPriority checks that a team's priority takes precedence over its
+// route's.
 func TestTeamPriority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newKeyedFixture(t, false)
@@ -131,8 +133,8 @@
 	})
 }
 
-// TestKeyOfNewerConfiguration guards against refusing a caller whose key stands
-// in a configuration that this entry has not heard of yet.
+// TestKeyOfNewerConfiguration checks that a client is not refused if its key is
+// in a configuration that this entry has not received yet.
 func TestKeyOfNewerConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newKeyedFixture(t, false)
@@ -155,14 +157,14 @@
 		assert.Equal(t, rec.Code, http.StatusUnauthorized)
 		assert.Equal(t, checks, 2)
 
-		// What is no key cannot become one.
+		// Malformed credentials match no configuration, so none is fetched.
 		rec, _ = w.do(t.Context(), "x", "Authorization", "Basic ka")
 		assert.Equal(t, rec.Code, http.StatusUnauthorized)
 		assert.Equal(t, checks, 2)
 	})
 }
 
-// fakeLimiter is a limiter that keeps account.
+// fakeLimiter is a Limiter with one balance for all teams.
 type fakeLimiter struct {
 	left    float64
 	unknown bool
@@ -180,7 +182,8 @@
 
 func (l *fakeLimiter) Refund(_ *team.Team, cost float64) { l.left += cost }
 
-// newLimitedFixture is a world whose team has a limit, with what is left of it.
+// newLimitedFixture returns a fixture whose team has a limit, with the given
+// balance.
 func newLimitedFixture(t *testing.T, act targetScript, left float64) (*fixture, *fakeLimiter) {
 	t.Helper()
 
@@ -197,7 +200,7 @@
 	return w, l
 }
 
-func TestCharged(t *testing.T) {
+func TestCharge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, l := newLimitedFixture(t, func(_ int, _ call, out io.Writer, _ net.Conn) { writeAnswer(out, "200 OK", "", "done") }, 100)
 		defer w.close()
@@ -208,7 +211,7 @@
 
 		rec, _ = w.do(t.Context(), "x", "Authorization", "Bearer ka")
 		assert.Equal(t, rec.Code, http.StatusOK)
-		assert.Equal(t, l.left, 10.0, "a request that names no tokens counts as the operators say")
+		assert.Equal(t, l.left, 10.0, "a request without token counts is charged the operators' default")
 
 		rec, _ = w.do(t.Context(), "x", "Authorization", "Bearer ka")
 		assert.Equal(t, rec.Code, http.StatusTooManyRequests)
@@ -222,9 +225,9 @@
 	})
 }
 
-// TestGivenBack: what was counted for a request that provably did not run is
-// given back, and nothing else is.
-func TestGivenBack(t *testing.T) {
+// TestRefund checks that the charge for a request is refunded if it provably
+// did not run, and only then.
+func TestRefund(t *testing.T) {
 	for name, tc := range map[string]struct {
 		act  targetScript
 		left float64
@@ -245,8 +248,8 @@
 	}
 }
 
-// TestKeysAreInNoLog guards against keys in what a process writes.
-func TestKeysAreInNoLog(t *testing.T) {
+// TestNoKeysInLog checks that the log contains no keys.
+func TestNoKeysInLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log bytes.Buffer
 
--- a/internal/serving/relay/pass.go
+++ b/internal/serving/relay/pass.go
@@ -13,26 +13,26 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/router"
 )
 
-// eventTimeout is how long a stream that can go on elsewhere may be silent
-// between two events. Callers leave after 2.4 s or more.
+// eventTimeout is how long a stream that another target can resume may send no
+// event. Clients leave after 2.4 s or more.
 const eventTimeout = 1600 * time.Millisecond
 
-// forwardStream hands a stream's events to the caller as they come.
+// forwardStream forwards a stream's events to the client as they arrive.
 func (d *delivery) forwardStream(t *router.Target, n int, a *answer, sent time.Time) error {
 	if !d.headSent && !strings.HasPrefix(a.Header.Get("Content-Type"), "text/event-stream") {
-		d.Log.Debug().Str("id", d.info.ID).Str("type", a.Header.Get("Content-Type")).Msg("stream of another type")
+		d.Log.Debug().Str("id", d.info.ID).Str("type", a.Header.Get("Content-Type")).Msg("stream is not text/event-stream")
 	}
 
 	var (
-		buf   []byte
-		ev    = events{bufio.NewReader(a.Body)}
-		watch = time.AfterFunc(time.Hour, func() { d.closeSilent(a) })
+		buf    []byte
+		stream = events{bufio.NewReader(a.Body)}
+		watch  = time.AfterFunc(time.Hour, func() { d.closeSilent(a) })
 	)
 
 	defer watch.Stop()
 
 	for count := 0; ; count++ {
-		event, id, err := ev.next(buf)
+		event, id, err := stream.next(buf)
 		buf = event
 
 		if err != nil {
@@ -65,12 +65,11 @@
 	}
 }
 
-// closeSilent closes the connection of a stream that has fallen silent, if the
-// stream may go on at another target.
+// closeSilent closes the connection of a stream that sent no event for
+// eventTimeout, if another target may resume the stream.
 //
-// It guards against giving up an answer that still comes: a target under load
-// may be silent for seconds, and without a repeat left the caller would get
-// nothing more.
+// A target under load may pause for seconds and then go on. Without a retry
+// left, closing its connection would lose the rest of the answer.
 func (d *delivery) closeSilent(a *answer) {
 	if d.runs >= d.route.Attempts || d.reached(Stopping) || !d.Budgets.TryWithdraw(d.service, time.Now()) {
 		return
@@ -88,12 +87,12 @@
 	t.Succeeded(time.Since(sent), t.Own())
 }
 
-// endStream judges the end of a stream.
+// endStream handles the end of a stream, which is complete or cut off.
 func (d *delivery) endStream(t *router.Target, n int, a *answer, rest []byte, err error) error {
 	if !errors.Is(err, io.EOF) || !a.framed() && len(rest) > 0 {
 		a.abandon()
 
-		return fmt.Errorf("target %s: stream cut: %w", t.ID, err)
+		return fmt.Errorf("target %s: stream cut off: %w", t.ID, err)
 	}
 
 	a.release()
@@ -106,7 +105,8 @@
 	return nil
 }
 
-// writeEvent writes one event, after the head of the first target's answer.
+// writeEvent writes one event, preceded by the head of the first target's
+// answer if that was not sent yet.
 func (d *delivery) writeEvent(a *answer, event []byte) error {
 	if !d.headSent {
 		h := d.w.Header()
--- a/internal/serving/relay/protocol.go
+++ b/internal/serving/relay/protocol.go
@@ -1,7 +1,7 @@
-// Package relay takes callers' HTTP requests to targets and the answers back,
-// byte for byte. It repeats only what may be repeated, checks that an answer
-// belongs to its request and is whole, and never lets a broken one look
-// complete.
+// Package relay is a reverse proxy: it forwards clients' HTTP requests to
+// targets and returns the answers unchanged. It retries only requests that may
+// be retried, checks that an answer is complete and belongs to its request, and
+// never lets a broken answer look complete.
 package relay
 
 import (
@@ -11,77 +11,80 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// Protocol knows the headers that callers and targets use.
+// Protocol reads and writes the headers that clients and targets use.
 type Protocol interface {
-	// Parse reads what a caller's headers ask for. It fails with a
-	// *BadRequestError.
+	// Parse reads a client's headers. It fails with a *BadRequestError.
 	Parse(h http.Header) (Ask, error)
-	// Outgoing returns the headers of a request to a target, without those
-	// that the caller must not set.
+	// Outgoing returns the headers of a request to a target, without those that
+	// a client must not set.
 	Outgoing(in http.Header, s Sending) http.Header
-	// Incoming returns the headers of an answer that go on to the caller.
+	// Incoming returns the headers of an answer that are forwarded to the
+	// client.
 	Incoming(in http.Header) http.Header
-	// Answer reads what a target's answer says of itself.
+	// Answer reads the headers by which a target describes its answer.
 	Answer(status int, h http.Header) Mark
 }
 
-// Ask is what a caller's headers say.
+// Ask is the information about a request in a client's headers.
 type Ask struct {
-	// ID is unique to this attempt of the caller.
+	// ID is unique to this request; a client that sends the same content again
+	// uses a new one.
 	ID string
-	// Left is how long the caller waits; zero means that it did not say.
+	// Left is how long the client waits; zero means that it did not say.
 	Left time.Duration
-	// Model is a model, or a model and an adapter with a slash between.
+	// Model is a model, or a model and an adapter, separated by a slash.
 	Model string
-	// Prompt names the parts of the prompt, Shared those that other requests
-	// have too.
+	// Prompt identifies the parts of the prompt, and Shared those that other
+	// requests have as well.
 	Prompt, Shared string
-	// TokensIn and TokensOut are the prompt's size and the most that the
-	// answer may have. Neither is negative.
+	// TokensIn is the size of the prompt, TokensOut the maximum size of the
+	// answer. Neither is negative.
 	TokensIn, TokensOut int
-	// TokensNamed says that the caller named them.
+	// TokensNamed is set if the client stated these sizes.
 	TokensNamed bool
-	// Credentials are the lines that say who the caller is. They are secret.
+	// Credentials are the header lines that identify the client. They are
+	// secret.
 	Credentials []string
-	// After is the last event that the caller has of a broken stream.
+	// After is the id of the last event that the client received of a stream
+	// that broke off.
 	After string
 }
 
-// Sending is what this process says to a target about one sending.
+// Sending describes one attempt to the target.
 type Sending struct {
 	// Left is how long the target may work.
 	Left   time.Duration
 	Target instance.ID
-	// After is the last event that the caller has.
+	// After is the id of the last event that the client received.
 	After string
-	// Ranked says that the target orders its work by Priority.
+	// Ranked is set if the target orders its work by Priority.
 	Ranked   bool
 	Priority int
-	// Keyed says that callers' keys open the routes, so that none may go on, and
-	// Team is the caller's team, if it is known.
+	// Keyed is set if clients authenticate with keys, which must not be
+	// forwarded. Team is the client's team, if it is known.
 	Keyed bool
 	Team  string
 }
 
-// Mark is what an answer says of itself.
+// Mark describes an answer, as its headers state.
 type Mark struct {
-	// ID is that of the request that the answer belongs to, if it says so.
+	// ID is the id of the request that the answer belongs to, if stated.
 	ID string
-	// Signed says that a target's program wrote the answer.
+	// Signed is set if a target's program wrote the answer.
 	Signed bool
-	// NotRun is the target's word that it did not run the request.
+	// NotRun is set if the target states that it did not run the request.
 	NotRun bool
-	// Misdirected says that another instance has the address, or that the
-	// target does not hold the model.
+	// Misdirected is set if another instance has the address, or if the target
+	// does not hold the model.
 	Misdirected bool
-	// Instance is who answered, if it says so.
+	// Instance is the instance that answered, if stated.
 	Instance instance.ID
-	// KeepAlive is after what time the target closes an idle connection; zero
+	// KeepAlive is how long the target keeps an idle connection open; zero
 	// means that it did not say.
 	KeepAlive time.Duration
 }
 
-// BadRequestError says that a request cannot be understood.
+// BadRequestError reports that a request's headers are invalid.
 type BadRequestError struct{ Reason string }
 
 func (e *BadRequestError) Error() string { return "bad request: " + e.Reason }
--- a/internal/serving/relay/relay_test.go
+++ b/internal/serving/relay/relay_test.go
@@ -26,7 +26,8 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/router"
 )
 
-// testProtocol has headers of its own, so that these tests need no platform.
+// testProtocol has headers of its own, which keeps these tests independent of
+// the platform.
 type testProtocol struct{}
 
 func (testProtocol) Parse(h http.Header) (Ask, error) {
@@ -66,20 +67,20 @@
 	}
 }
 
-// call is a request as a target got it.
+// call is a request as a target received it.
 type call struct {
 	target instance.ID
 	header http.Header
 	body   string
-	// onConn counts the requests onConn this connection.
+	// onConn is the request's number on its connection, from 1.
 	onConn int
-	at time.Time
+	at     time.Time
 }
 
-// targetScript is what the targets do with the nth request that reaches any of them.
+// targetScript handles the nth request that reaches any target.
 type targetScript func(n int, c call, w io.Writer, conn net.Conn)
 
-// fixture has targets a and b behind a relay, on pipes.
+// fixture is a server with targets a and b, connected by pipes.
 type fixture struct {
 	t       *testing.T
 	server  *Server
@@ -90,7 +91,7 @@
 
 	mu    sync.Mutex
 	calls []call
-	// closed is when the relay closed a connection under a request.
+	// closed is when the server closed a connection during a request.
 	closed time.Time
 	down   map[instance.ID]bool
 }
@@ -127,7 +128,7 @@
 	return w
 }
 
-// listTargets makes both targets known, as new processes for each number.
+// listTargets publishes both targets, as new processes for each number.
 func (w *fixture) listTargets(number uint64) {
 	s := &router.Snapshot{Token: 1, Number: number}
 	for i, id := range []instance.ID{"a", "b"} {
@@ -187,14 +188,14 @@
 	}
 }
 
-// recorder is a ResponseWriter that allows read deadlines, as a connection
+// recorder is a ResponseWriter that accepts read deadlines, as a connection
 // does.
 type recorder struct{ *httptest.ResponseRecorder }
 
 func (recorder) SetReadDeadline(time.Time) error { return nil }
 
-// do sends a request and returns its answer; aborted says that the connection
-// was closed under it.
+// do sends a request and returns its answer; aborted is set if the connection
+// was closed before the answer's end.
 func (w *fixture) do(ctx context.Context, body string, header ...string) (rec *httptest.ResponseRecorder, aborted bool) {
 	req := httptest.NewRequestWithContext(ctx, http.MethodPost, "http://host/p/x?q=1", strings.NewReader(body))
 	req.RequestURI = "/p/x?q=1"
@@ -220,7 +221,7 @@
 	return rec, false
 }
 
-// received returns what has reached the targets.
+// received returns the requests that reached the targets.
 func (w *fixture) received() []call {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -243,7 +244,7 @@
 
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: x\n\n", id) }
 
-// stream sends events from one id to another, and the end if whole.
+// stream sends the events with ids from to to, and the end if whole is set.
 func stream(w io.Writer, from, to int, whole bool) {
 	_, _ = fmt.Fprintf(w, head+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", "200 OK")
 
@@ -256,8 +257,8 @@
 	}
 }
 
-// TestOutcomes holds what callers get for what targets do, and how often a
-// request is sent.
+// TestOutcomes checks, for each behaviour of the targets, what the client gets
+// and how many attempts are made.
 func TestOutcomes(t *testing.T) {
 	once := route.Route{Kind: route.Once, Timeout: 5 * time.Second}
 	idempotent := route.Route{Kind: route.Idempotent, Timeout: 5 * time.Second}
@@ -269,18 +270,18 @@
 	cases := map[string]struct {
 		route route.Route
 		act   targetScript
-		// status and body are what the caller gets, aborted that its
-		// connection is closed.
+		// status and body are what the client gets; aborted is set if its
+		// connection is closed before the answer's end.
 		status  int
 		body    string
 		aborted bool
 		sends   int
 		retry   bool
 	}{
-		"a whole answer":                    {once, func(_ int, _ call, w io.Writer, _ net.Conn) { ok(w) }, 200, "done", false, 1, false},
-		"a target's own failure":            {once, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "500 No", "", "why") }, 500, "why", false, 1, false},
-		"no answer to what runs once":       {once, cut, 502, "", false, 1, false},
-		"no answer to what may be repeated": {idempotent, cut, 502, "", false, 2, false},
+		"a complete answer":                         {once, func(_ int, _ call, w io.Writer, _ net.Conn) { ok(w) }, 200, "done", false, 1, false},
+		"an error of the target":                    {once, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "500 No", "", "why") }, 500, "why", false, 1, false},
+		"no answer to a request that must run once": {once, cut, 502, "", false, 1, false},
+		"no answer to an idempotent request":        {idempotent, cut, 502, "", false, 2, false},
 		"one answer lost": {idempotent, func(n int, c call, w io.Writer, conn net.Conn) {
 			if n == 1 {
 				cut(n, c, w, conn)
@@ -288,7 +289,7 @@
 
 			ok(w)
 		}, 200, "done", false, 2, false},
-		"a failure, then a success": {idempotent, func(n int, _ call, w io.Writer, _ net.Conn) {
+		"an error, then a success": {idempotent, func(n int, _ call, w io.Writer, _ net.Conn) {
 			if n == 1 {
 				writeAnswer(w, "500 No", "", "why")
 
@@ -306,19 +307,19 @@
 
 			ok(w)
 		}, 200, "done", false, 2, false},
-		"rejected by all": {once, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "503 Full", "Not-Run: 1\r\n", "") }, 503, "", false, maxAttempts, true},
+		"rejected by every target": {once, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "503 Full", "Not-Run: 1\r\n", "") }, 503, "", false, maxAttempts, true},
 		"an answer that is not signed": {once, func(_ int, _ call, w io.Writer, _ net.Conn) {
 			_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhm")
 		}, 502, "", false, 1, false},
-		"bytes that are no answer": {once, func(_ int, _ call, w io.Writer, _ net.Conn) {
+		"bytes that are not HTTP": {once, func(_ int, _ call, w io.Writer, _ net.Conn) {
 			_, _ = io.WriteString(w, "what?\r\n\r\n")
 		}, 502, "", false, 1, false},
-		"an answer cut short": {once, func(_ int, _ call, w io.Writer, conn net.Conn) {
+		"a truncated answer": {once, func(_ int, _ call, w io.Writer, conn net.Conn) {
 			_, _ = fmt.Fprintf(w, head+"Content-Length: 9\r\n\r\nhalf", "200 OK")
 
 			conn.Close()
 		}, 502, "", false, 1, false},
-		"an answer for somebody else": {once, func(_ int, _ call, w io.Writer, _ net.Conn) {
+		"an answer to another request": {once, func(_ int, _ call, w io.Writer, _ net.Conn) {
 			_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nSigned: x\r\nId: two\r\nContent-Length: 0\r\n\r\n")
 		}, 502, "", false, 1, false},
 		"an answer that ends with its connection": {once, func(_ int, _ call, w io.Writer, conn net.Conn) {
@@ -331,11 +332,11 @@
 			ok(w)
 		}, 200, "done", false, 1, false},
 		"a stream": {stepwise, func(_ int, _ call, w io.Writer, _ net.Conn) { stream(w, 1, 3, true) }, 200, event(1) + event(2) + event(3), false, 1, false},
-		"a stream cut": {stepwise, func(_ int, _ call, w io.Writer, conn net.Conn) {
+		"a stream cut between events": {stepwise, func(_ int, _ call, w io.Writer, conn net.Conn) {
 			stream(w, 1, 2, false)
 			conn.Close()
 		}, 200, event(1) + event(2), true, 1, false},
-		"a stream cut in an event": {stepwise, func(_ int, _ call, w io.Writer, conn net.Conn) {
+		"a stream cut within an event": {stepwise, func(_ int, _ call, w io.Writer, conn net.Conn) {
 			stream(w, 1, 2, false)
 			_, _ = io.WriteString(w, "6\r\nid: 3\n\r\n")
 
@@ -348,11 +349,11 @@
 
 				return
 			}
-			// This target goes on one event too early.
+			// This target repeats an event that was already forwarded.
 			assert.Equal(t, c.header.Get("After"), "2")
 			stream(w, 2, 4, true)
 		}, 200, event(1) + event(2) + event(3) + event(4), false, 2, false},
-		"a stream that falls silent": {resumable, func(n int, _ call, w io.Writer, _ net.Conn) {
+		"a stream that stops sending events": {resumable, func(n int, _ call, w io.Writer, _ net.Conn) {
 			if n == 1 {
 				stream(w, 1, 2, false)
 				time.Sleep(time.Minute)
@@ -390,17 +391,17 @@
 	}
 }
 
-// close lets the targets' goroutines go, so that the bubble ends.
+// close ends the targets' goroutines, so that the synctest bubble can end.
 func (w *fixture) close() {
 	time.Sleep(2 * time.Minute)
 	w.server.Pool.Sweep(time.Now())
 	synctest.Wait()
 }
 
-// TestSecondAnswerIsPassedOver: a target answers a request twice. The second
-// answer arrives where the next one is expected, on a connection that is kept,
-// and the next caller would get somebody else's booking.
-func TestSecondAnswerIsPassedOver(t *testing.T) {
+// TestSecondAnswerIsSkipped covers a target that answers a request twice. The
+// second answer arrives where the next one is expected, on a reused connection,
+// and the next client would get the answer to another client's request.
+func TestSecondAnswerIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFixture(t, func(n int, c call, w io.Writer, _ net.Conn) {
 			id := c.header.Get("Id")
@@ -418,14 +419,14 @@
 			assert.Equal(t, rec.Body.String(), id)
 		}
 
-		assert.Equal(t, w.received()[1].onConn, 2, "the connection was not kept, so nothing was shown")
+		assert.Equal(t, w.received()[1].onConn, 2, "the connection was not reused, so the test shows nothing")
 		w.close()
 	})
 }
 
-// TestOnceUsesNewConnections: what must not run twice never follows another
-// request on a connection, where a late answer to that could be taken for its
-// own.
+// TestOnceUsesNewConnections checks that a request that must not run twice
+// never follows another one on a connection, where a late answer to that one
+// could be taken for its own.
 func TestOnceUsesNewConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFixture(t, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "200 OK", "", "") },
@@ -443,9 +444,9 @@
 	})
 }
 
-// TestEarlyAnswer: a target refuses a long body before it has read it, and
-// would read on later. The rest of the connection must not be used, or it
-// takes the next request for the rest of the body.
+// TestEarlyAnswer covers a target that refuses a long body before it has read
+// it, and goes on reading. The connection must not be reused, since the target
+// would take the next request for the rest of the body.
 func TestEarlyAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFixture(t, nil, route.Route{Kind: route.Idempotent, Timeout: time.Second})
@@ -476,13 +477,14 @@
 		rec, _ := w.do(t.Context(), strings.Repeat("x", 10*maxInlineBody))
 		assert.Equal(t, rec.Code, http.StatusRequestEntityTooLarge)
 		synctest.Wait()
-		assert.Assert(t, !w.closed.IsZero(), "the connection was kept")
+		assert.Assert(t, !w.closed.IsZero(), "the connection was kept open")
 		w.close()
 	})
 }
 
-// TestCallerLeaves: the caller closes its connection while a target works for
-// it. The target must stop at once, and nothing is sent any more.
+// TestCallerLeaves covers a client that closes its connection while a target
+// works for it. The target must be stopped at once, and no further attempt may
+// follow.
 func TestCallerLeaves(t *testing.T) {
 	for _, kind := range []route.Kind{route.Once, route.Idempotent, route.Stream} {
 		synctest.Test(t, func(t *testing.T) {
@@ -502,16 +504,16 @@
 	}
 }
 
-// TestTimeouts holds when a caller is answered whom no target answers, and how
-// long targets are told that they have.
+// TestTimeouts checks when a client is refused if no target answers, and the
+// time that targets are given.
 func TestTimeouts(t *testing.T) {
 	cases := map[string]struct {
 		timeout time.Duration
 		left    string
 		want    time.Duration
 	}{
-		"the route's":  {2 * time.Second, "10000", 2 * time.Second},
-		"the caller's": {20 * time.Second, "3000", 3 * time.Second},
+		"the route's timeout":  {2 * time.Second, "10000", 2 * time.Second},
+		"the client's timeout": {20 * time.Second, "3000", 3 * time.Second},
 	}
 
 	for name, c := range cases {
@@ -530,8 +532,8 @@
 	}
 }
 
-// TestStop holds what a stopping entry takes: short requests to the end, with
-// their connections closed, and no stream that could not end in time.
+// TestStop checks that a stopping entry serves short requests to the end, with
+// their connections closed, and refuses streams that could not end in time.
 func TestStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		act := func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "200 OK", "", "done") }
@@ -550,10 +552,10 @@
 	})
 }
 
-// TestWaitingStreamIsRefusedAtTheEnd: a stream waits for a model while its
-// entry stops. It must be told in time to go elsewhere, or it is cut off with
-// the process.
-func TestWaitingStreamIsRefusedAtTheEnd(t *testing.T) {
+// TestQueuedStreamIsRefusedAtShutdown covers a stream that waits for a model
+// while its entry stops. It must be refused in time for its client to use
+// another entry; otherwise it is cut off with the process.
+func TestQueuedStreamIsRefusedAtShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFixture(t, nil, route.Route{Kind: route.Stream, Timeout: time.Minute})
 		w.config.Services["s"] = route.Service{Name: "s", Engine: &route.Engine{}}
@@ -570,10 +572,10 @@
 	})
 }
 
-// TestRejectedStreamIsRefusedAtTheEnd: a stream was rejected and waits for its
-// share of the repeats while its entry stops. It stands in no line then, and
-// would be cut off with the process instead of being told to go elsewhere.
-func TestRejectedStreamIsRefusedAtTheEnd(t *testing.T) {
+// TestRejectedStreamIsRefusedAtShutdown covers a stream that was rejected and
+// waits for the retry budget while its entry stops. It is not queued then, and
+// must be refused all the same rather than cut off with the process.
+func TestRejectedStreamIsRefusedAtShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFixture(t, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "503 Full", "Not-Run: 1\r\n", "") },
 			route.Route{Kind: route.Stream, Timeout: time.Minute, Goal: 10 * time.Second})
@@ -590,9 +592,9 @@
 	})
 }
 
-// TestSilentStreamIsKeptWithoutBudget: a target under load is silent for three
-// seconds in the middle of a stream, and no repeat is left. Closing its
-// connection would break off an answer that still comes.
+// TestSilentStreamIsKeptWithoutBudget covers a target under load that sends
+// nothing for three seconds in the middle of a stream, with no retry left.
+// Closing its connection would lose the rest of the answer.
 func TestSilentStreamIsKeptWithoutBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFixture(t, func(_ int, _ call, w io.Writer, _ net.Conn) {
@@ -612,8 +614,9 @@
 	})
 }
 
-// TestProper holds the answers to requests that no target sees.
-func TestProper(t *testing.T) {
+// TestRefusedBeforeSending checks the answers to requests that are not sent to
+// any target.
+func TestRefusedBeforeSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFixture(t, nil, route.Route{Kind: route.Once, Timeout: time.Second})
 
@@ -635,9 +638,9 @@
 	})
 }
 
-// TestCrashingRequest: a request crashes each target that runs it, and its
-// caller sends it again and again. After two targets it reaches no more, and
-// whoever shares a target with a lost answer is not blamed.
+// TestCrashingRequest covers a request that crashes each target that runs it
+// and that its client sends again and again. After two targets it must reach no
+// more. A request whose answers are only lost must not be blocked.
 func TestCrashingRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var w *fixture
@@ -653,7 +656,7 @@
 			rec, _ := w.do(t.Context(), "poison")
 			assert.Assert(t, rec.Code >= 500)
 
-			// The targets are back as new processes.
+			// The targets restart as new processes.
 			synctest.Wait()
 			clear(w.down)
 			w.listTargets(uint64(2 + i))
--- a/internal/serving/relay/server.go
+++ b/internal/serving/relay/server.go
@@ -23,25 +23,28 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/router"
 )
 
-// Server answers callers. Set the exported fields before use.
+// Server answers clients' requests through targets. Set the exported fields
+// before use.
 type Server struct {
 	Protocol Protocol
 	Lines    *dispatch.Dispatcher
 	Pool     *Pool
 	Budgets  *Budgets
-	// Table returns the routes in force, or nil while none are known.
+	// Table returns the routes in force, or nil before a configuration was
+	// received.
 	Table func() *route.Table
-	// Confirm makes sure that Table returns what is now in force, within a moment.
-	// Nil means that it always does.
+	// Confirm makes sure that Table returns the routes that are in force now,
+	// within a short time. Nil means that it always does.
 	Confirm func(ctx context.Context)
-	// Limits may be nil, and then teams' limits do not hold.
+	// Limits charges requests to teams' limits. If nil, limits are not
+	// enforced.
 	Limits Limiter
-	// Absent is called when a target says that it does not hold what the key
-	// names, and Moved when another instance has its address.
+	// Absent is called when a target reports that it does not hold the model of
+	// the key, Moved when another instance has its address.
 	Absent func(t *router.Target, key string)
 	Moved  func(t *router.Target)
-	// Unreached is called when a target takes no connection, once for a while.
-	// Nil means nobody is told.
+	// Unreached is called when a target is found to accept no connection, but
+	// not again for a while. It may be nil.
 	Unreached func(t *router.Target)
 	Log       zerolog.Logger
 	// Metrics may be nil.
@@ -51,30 +54,31 @@
 	running atomic.Int64
 }
 
-// Key names what a request needs of a target: its service and, on an engine,
-// the model or adapter.
+// Key returns the key that targets are looked up by: the service and, on an
+// engine, the model or adapter.
 func Key(service, model string) string { return service + "/" + model }
 
-// Phase is how far an entry has come in stopping. It only grows.
+// Phase is the progress of an entry's graceful shutdown. It only grows.
 type Phase int32
 
-// The phases of a stop.
+// The phases of a graceful shutdown.
 const (
-	// Open takes everything.
+	// Open accepts all requests.
 	Open Phase = iota
-	// Stopping makes every answer the last one on its connection.
+	// Stopping closes each client connection after the next answer.
 	Stopping
-	// Closing refuses streams that still come: one that is taken late would be
-	// cut off with the process, while its caller has time to go elsewhere.
+	// Closing refuses new streams: a stream that begins this late would be cut
+	// off with the process, while its client still has time to use another
+	// entry.
 	Closing
-	// Ending refuses streams that were taken and have not begun.
+	// Ending also refuses accepted streams of which nothing was sent yet.
 	Ending
 )
 
-// Enter goes on to a phase.
+// Enter moves to phase p.
 //
-// It guards against a stop whose grace time ends under a stream: nothing that
-// could not end in time is begun, and its caller is told at once.
+// A stream must not be cut off at the end of the grace time: streams that could
+// not end in time are not begun, and their clients are refused at once.
 func (s *Server) Enter(p Phase) {
 	s.phase.Store(int32(p))
 
@@ -87,33 +91,32 @@
 	}
 
 	refuse()
-	// Again for those that were on their way into a line.
+	// Once more for requests that were about to be queued.
 	time.AfterFunc(enqueueGrace, refuse)
 }
 
-// enqueueGrace is how long after the phase began a request may still get into a
-// line.
+// enqueueGrace is how long after the phase began a request may still be queued.
 const enqueueGrace = 100 * time.Millisecond
 
-// stoppingRefusal refuses a request because this entry stops.
+// stoppingRefusal refuses a request because this entry is stopping.
 func stoppingRefusal() *request.Refusal {
 	return request.Refuse(request.ShuttingDown, otherEntryRetry, "this instance is stopping")
 }
 
 func (s *Server) reached(p Phase) bool { return Phase(s.phase.Load()) >= p }
 
-// otherEntryRetry is when a caller is told to come back who is only to go to
-// another entry.
+// otherEntryRetry is the Retry-After for clients that should only use another
+// entry.
 const otherEntryRetry = 50 * time.Millisecond
 
-// Running returns how many requests are being answered.
+// Running returns the number of requests in flight.
 func (s *Server) Running() int { return int(s.running.Load()) }
 
 const (
-	// noConfigRetry is when a caller is told to come back while no
-	// configuration is known: a start takes about that long.
+	// noConfigRetry is the Retry-After before a configuration was received: a
+	// start takes about that long.
 	noConfigRetry = 500 * time.Millisecond
-	// defaultMaxBody bounds a body while the operators say nothing.
+	// defaultMaxBody limits a body if the operators set no limit.
 	defaultMaxBody = 4 << 20
 )
 
@@ -130,17 +133,17 @@
 
 	table := s.Table()
 	if table == nil {
-		s.refuse(w, r, http.StatusServiceUnavailable, noConfigRetry, "no configuration is known yet")
+		s.refuse(w, r, http.StatusServiceUnavailable, noConfigRetry, "no configuration received yet")
 
 		return
 	}
 
-	ask, badAsk := s.Protocol.Parse(r.Header)
+	info, badRequest := s.Protocol.Parse(r.Header)
 
-	at, err := s.matchRoute(r, table, ask)
+	matched, err := s.matchRoute(r, table, info)
 
 	switch {
-	case at.route == nil:
+	case matched.route == nil:
 		s.refuse(w, r, http.StatusNotFound, 0, "no route")
 
 		return
@@ -149,26 +152,26 @@
 		s.refuse(w, r, http.StatusUnauthorized, 0, err.Error())
 
 		return
-	case badAsk != nil:
-		s.refuse(w, r, http.StatusBadRequest, 0, badAsk.Error())
+	case badRequest != nil:
+		s.refuse(w, r, http.StatusBadRequest, 0, badRequest.Error())
 
 		return
 	}
 
-	s.serve(w, r, ask, at, arrived)
+	s.serve(w, r, info, matched, arrived)
 }
 
-// serve answers a request whose route and caller are known.
-func (s *Server) serve(w http.ResponseWriter, r *http.Request, ask Ask, at matchedRoute, arrived time.Time) {
-	rt, cfg := at.route, at.table.Config
+// serve answers a request whose route and client are known.
+func (s *Server) serve(w http.ResponseWriter, r *http.Request, info Ask, matched matchedRoute, arrived time.Time) {
+	rt, cfg := matched.route, matched.table.Config
 
-	left := rt.Timeout
-	if ask.Left > 0 && (left == 0 || ask.Left < left) {
-		left = ask.Left
+	timeout := rt.Timeout
+	if info.Left > 0 && (timeout == 0 || info.Left < timeout) {
+		timeout = info.Left
 	}
 
-	d := &delivery{Server: s, w: w, r: r, route: rt, info: ask, arrived: arrived, deadline: arrived.Add(left), version: cfg.Version, team: at.team, keysInUse: cfg.Teams.Len() > 0}
-	d.service = rt.Pick(rand.Float64()) //nolint:gosec // No secret.
+	d := &delivery{Server: s, w: w, r: r, route: rt, info: info, arrived: arrived, deadline: arrived.Add(timeout), version: cfg.Version, team: matched.team, keysInUse: cfg.Teams.Len() > 0}
+	d.service = rt.Pick(rand.Float64()) //nolint:gosec // Not a secret.
 
 	if !d.charge() {
 		return
@@ -193,34 +196,34 @@
 }
 
 // refuse answers a request that was never sent to a target.
-func (s *Server) refuse(w http.ResponseWriter, r *http.Request, status int, retry time.Duration, why string) {
+func (s *Server) refuse(w http.ResponseWriter, r *http.Request, status int, retryAfter time.Duration, why string) {
 	s.count("none", status)
 	s.Log.Info().Str("path", r.URL.Path).Int("status", status).Str("why", why).Msg("request refused")
-	writeRefusal(w, status, retry)
+	writeRefusal(w, status, retryAfter)
 }
 
-// writeRefusal writes an answer without a body, and when to come back if that is
-// known.
-func writeRefusal(w http.ResponseWriter, status int, retry time.Duration) {
-	if retry > 0 {
-		w.Header().Set("Retry-After", retryAfterSeconds(retry))
+// writeRefusal writes an answer without a body, with a Retry-After header if
+// retryAfter is positive.
+func writeRefusal(w http.ResponseWriter, status int, retryAfter time.Duration) {
+	if retryAfter > 0 {
+		w.Header().Set("Retry-After", retryAfterSeconds(retryAfter))
 	}
 
 	w.WriteHeader(status)
 }
 
-// count counts an answer by the kind of its request and its status; zero means
-// that it was broken off or that its caller left.
+// count counts an answer by the kind of its request and its status; status zero
+// means that the answer broke off or that the client left.
 func (s *Server) count(kind string, status int) {
 	if s.Metrics != nil {
 		s.Metrics.Tagged(map[string]string{"kind": kind, "status": strconv.Itoa(status)}).Counter("answers").Inc(1)
 	}
 }
 
-// kindNames are the kinds of requests in metrics.
+// kindNames are the names of the kinds in metrics.
 var kindNames = map[route.Kind]string{route.Idempotent: "idempotent", route.Once: "once", route.Stream: "stream"}
 
-// recordOutcome records what became of the request.
+// recordOutcome records the metrics of a request that has ended.
 func (d *delivery) recordOutcome(status int) {
 	if d.Metrics == nil {
 		return
@@ -238,51 +241,53 @@
 	}
 }
 
-// delivery is one caller's request on its way.
+// delivery is one client's request from its arrival to its end.
 type delivery struct {
 	*Server
 
 	w        http.ResponseWriter
 	r        *http.Request
 	route    *route.Route
-	info      Ask
+	info     Ask
 	arrived  time.Time
 	deadline time.Time
-	// version is that of the configuration that the request is handled under.
+	// version is the version of the configuration that the request is handled
+	// under.
 	version uint64
-	// team is the caller's, or nil where none is needed; keyed says that callers'
-	// keys open the routes.
-	team  *team.Team
+	// team is the client's team, or nil if none is needed. keysInUse is set if
+	// clients authenticate with keys.
+	team      *team.Team
 	keysInUse bool
-	// cost is what was counted against the team's limit.
-	cost    float64
-	service string
-	prioritised  bool
-	body    []byte
-	req     *request.Request
-	trail   request.Trail
-	// runs counts the targets that may have run the request.
-	runs     int
+	// cost is what was charged to the team's limit.
+	cost        float64
+	service     string
+	prioritised bool
+	body        []byte
+	req         *request.Request
+	trail       request.Trail
+	// runs counts the attempts that may have run the request.
+	runs    int
 	suspect bool
 	exclude []instance.ID
-	// headSent says that the answer's head has gone to the caller; last is then
-	// the id of the last event that went.
-	headSent bool
-	lastEvent  string
-	coldStart  bool
+	// headSent is set once the answer's head was sent to the client; lastEvent
+	// is then the id of the last event that was sent.
+	headSent  bool
+	lastEvent string
+	coldStart bool
 	firstByte time.Duration
-	// waited is how long the request had no target, over all sendings.
+	// waited is how long the request waited for a target, over all attempts.
 	waited time.Duration
-	// events counts the stream's events that went to the caller, the last one
-	// at heard.
-	events int
-	lastEventAt  time.Time
-	// callerGone says that the caller was found to have closed its connection.
+	// events counts the events that were sent to the client, the last one at
+	// lastEventAt.
+	events      int
+	lastEventAt time.Time
+	// callerGone is set once the client has closed its connection.
 	callerGone atomic.Bool
-	// retryReserved says that the next sending has its share of the repeats already.
+	// retryReserved is set if the retry budget was already debited for the next
+	// attempt.
 	retryReserved atomic.Bool
-	// fallback is a target's own failure, which the caller gets if no other
-	// target does better.
+	// fallback is a target's own error answer, which the client gets if no
+	// other attempt succeeds.
 	fallback *bufferedAnswer
 }
 
@@ -297,7 +302,7 @@
 	}
 
 	rc := http.NewResponseController(d.w)
-	_ = rc.SetReadDeadline(d.deadline) // A connection without deadlines is one of a test.
+	_ = rc.SetReadDeadline(d.deadline) // Only connections of tests lack deadlines.
 
 	body, err := io.ReadAll(http.MaxBytesReader(d.w, d.r.Body, limit))
 	if err != nil {
@@ -310,7 +315,7 @@
 	return nil
 }
 
-// forward has the request answered by a target of the service.
+// forward gets the request answered by a target of the service.
 func (d *delivery) forward(service route.Service) {
 	model := ""
 	if service.Engine != nil {
@@ -355,29 +360,31 @@
 	d.finish(d.run(ctx))
 }
 
-// queueShare is the part of a caller's patience for which a stream waits in
-// line. What has not begun by then is refused while its caller is still there
-// to come back; held to the end, it would leave with nothing.
+// queueShare is the part of a client's patience that a stream may spend in the
+// queue. A stream that has not begun by then is refused while its client still
+// waits and can retry; if it stayed queued to the end, the client would leave
+// without an answer.
 const queueShare = 0.7
 
-// queueDeadline returns until when the request may wait in line.
+// queueDeadline returns until when the request may stay queued.
 func (d *delivery) queueDeadline() time.Time {
 	if d.route.Kind != route.Stream {
 		return d.deadline
 	}
 
 	patience := time.Duration(queueShare * float64(d.route.Patience()))
-	if by := d.arrived.Add(patience); by.Before(d.deadline) {
-		return by
+	if latest := d.arrived.Add(patience); latest.Before(d.deadline) {
+		return latest
 	}
 
 	return d.deadline
 }
 
-// maxWeight is the weight of the most urgent route's requests in line.
+// maxWeight is the queue weight of the most urgent route's requests.
 const maxWeight = 9
 
-// contentDigest identifies what the caller asks for, whatever the attempt.
+// contentDigest identifies the content of the request, which is the same when
+// the client sends it again under another id.
 func (d *delivery) contentDigest() string {
 	h := xxhash.New()
 	for _, s := range []string{d.r.Method, d.r.Host, d.r.RequestURI, d.info.Prompt} {
@@ -390,7 +397,8 @@
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// finish gives the request its final answer if it has none, and says so.
+// finish writes the request's final answer, if none was written, and logs the
+// outcome.
 func (d *delivery) finish(err error) {
 	line := d.Log.Info().Str("id", d.info.ID).Str("route", d.route.Name).Str("team", d.teamName()).Float64("cost", d.cost).Uint64("config", d.version).
 		Str("key", d.req.Model).Int("sends", d.trail.Sends()).Bool("cold", d.coldStart).
@@ -414,7 +422,7 @@
 	case d.headSent:
 		d.recordOutcome(0)
 		line.Err(err).Msg("answer broken off")
-		// Only a closed connection tells the caller that the rest is missing.
+		// Only a closed connection shows the client that the rest is missing.
 		panic(http.ErrAbortHandler)
 	case d.fallback != nil:
 		d.recordOutcome(d.fallback.status)
@@ -424,36 +432,35 @@
 		return
 	}
 
-	status, retry := d.refusalStatus(err)
+	status, retryAfter := d.refusalStatus(err)
 	d.recordOutcome(status)
-	line.Err(err).Int("status", status).Dur("retryAfter", retry).Msg("request refused")
+	line.Err(err).Int("status", status).Dur("retryAfter", retryAfter).Msg("request refused")
 
-	writeRefusal(d.w, status, retry)
+	writeRefusal(d.w, status, retryAfter)
 }
 
-// refusalStatus returns the status that says no more than is proved. Only 503
-// promises that the request has not run.
+// refusalStatus returns a status that states no more than is proved, and the
+// Retry-After. Only 503 promises that the request did not run.
 func (d *delivery) refusalStatus(err error) (int, time.Duration) {
 	run := d.trail.Verdict()
-	late := errors.Is(err, context.DeadlineExceeded)
+	timedOut := errors.Is(err, context.DeadlineExceeded)
 
 	switch {
-	case run != request.NotRun && late:
+	case run != request.NotRun && timedOut:
 		return http.StatusGatewayTimeout, 0
 	case run != request.NotRun:
 		return http.StatusBadGateway, 0
 	}
 
-	retry := defaultRetryAfter
+	retryAfter := defaultRetryAfter
 
 	var refusal *request.Refusal
 	if errors.As(err, &refusal) && refusal.RetryAfter > 0 {
-		retry = refusal.RetryAfter
+		retryAfter = refusal.RetryAfter
 	}
 
-	return http.StatusServiceUnavailable, retry
+	return http.StatusServiceUnavailable, retryAfter
 }
 
-// defaultRetryAfter is what a caller is told when nothing is known of when it would be
-// served.
+// defaultRetryAfter is the Retry-After of a refusal that names none itself.
 const defaultRetryAfter = 250 * time.Millisecond
