--- a/internal/serving/relay/budget.go
+++ b/internal/serving/relay/budget.go
@@ -18,7 +18,7 @@
 // that are counted on one side of a window's boundary and retried on the other.
 const usableShare = 0.85
 
-// Budgets holds a retry budget for each service. Set Allowance before use.
+// Budgets holds a retry budget for each service. Set the limit before use.
 //
 // Budgets prevents a retry storm when many targets fail at once. Each entry has
 // an equal share of the burst and adds to its budget with its own requests, so
--- a/internal/serving/relay/deliver.go
+++ b/internal/serving/relay/deliver.go
@@ -293,8 +293,8 @@
 	}
 }
 
-// recordDeath records that a target's process accepts no connection. It reports
-// whether that was unknown before; Unreached is then called.
+// recordDeath records that a target's process accepts no connection. If that was
+// unknown before, it calls the server's callback and returns true.
 func (d *delivery) recordDeath(t *router.Target, incarnation string, now time.Time) bool {
 	if !t.Died(incarnation, now) {
 		return false
--- a/internal/serving/relay/server.go
+++ b/internal/serving/relay/server.go
@@ -40,9 +40,10 @@
 	// enforced.
 	Limits Limiter
 	// Absent is called when a target reports that it does not hold the model of
-	// the key, Moved when another instance has its address.
+	// the key.
 	Absent func(t *router.Target, key string)
-	Moved  func(t *router.Target)
+	// Moved is called when another instance has a target's address.
+	Moved func(t *router.Target)
 	// Unreached is called when a target is found to accept no connection, but
 	// not again for a while. It may be nil.
 	Unreached func(t *router.Target)
