--- a/internal/serving/gateway/counts.go
+++ b/internal/serving/gateway/counts.go
@@ -11,10 +11,10 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/request"
 )
 
-// Counts counts answers and refusals per plan. The zero value is ready.
+// Counts counts answers and refusals by plan. The zero value is ready to use.
 type Counts struct{ plans sync.Map }
 
-// planCount is one plan's counts.
+// planCount holds the counts of one plan.
 type planCount struct {
 	answered atomic.Int64
 	tokens   atomic.Int64
@@ -43,7 +43,7 @@
 	n.(*atomic.Int64).Add(1) //nolint:forcetypeassert // The map holds nothing else.
 }
 
-func (c *Counts) all(shares *limit.Shares, waiting map[string]int) []peer.PlanCount {
+func (c *Counts) planCounts(shares *limit.Shares, waiting map[string]int) []peer.PlanCount {
 	var out []peer.PlanCount
 
 	c.plans.Range(func(key, value any) bool {
--- a/internal/serving/gateway/generate.go
+++ b/internal/serving/gateway/generate.go
@@ -24,7 +24,8 @@
 	g.generate(w, r, caller.DecodeCompletion)
 }
 
-// generate serves one request for a model, from its body to its last token.
+// generate serves one request for a model, from reading its body to writing the
+// last token.
 func (g *Gateway) generate(w http.ResponseWriter, r *http.Request, decode func([]byte) (caller.Call, error)) {
 	c := g.begin(w, r)
 	if c == nil {
@@ -84,7 +85,7 @@
 	}
 	g.cfg.Log.Add(timeline.Event{Kind: timeline.Admitted, Request: c.id, Model: msg.Model, Customer: c.plan.Customer})
 
-	ctx, release := g.hold(c, req.EngineID, msg.Model)
+	ctx, release := g.track(c, req.EngineID, msg.Model)
 	defer release()
 
 	answer := &caller.Answer{ID: "cmpl-" + req.EngineID, Model: msg.Model, Created: c.arrived, Chat: msg.Chat}
@@ -104,20 +105,20 @@
 	return res, err
 }
 
-// fail tells the caller why there is no whole answer.
+// fail writes the reason why there is no complete answer.
 func (g *Gateway) fail(ctx context.Context, c *call, out responder, err error) {
 	var refusal *request.Refusal
 
 	switch {
 	case errors.As(context.Cause(ctx), &refusal):
-		// The lists changed under a running request. It was sent, so the
-		// refusal must not say otherwise.
+		// A change of the lists cancelled the running request. It was sent, so
+		// the refusal must not say that it did not run.
 		removed := *refusal
 		removed.Run = request.MayHaveRun
 		refusal = &removed
 	case errors.As(err, &refusal):
 	default:
-		// The caller has left. Nobody reads what is written.
+		// The client has left, so there is no answer to write.
 		return
 	}
 
@@ -130,16 +131,16 @@
 	g.counts.refused(c.plan.Name, refusal.Code)
 }
 
-// responder writes one answer.
+// responder writes an answer.
 type responder interface {
 	dispatch.Sink
 	finish(res dispatch.Result) error
-	// refuseLate refuses after part of the answer was written. It reports
-	// false when nothing was written yet.
+	// refuseLate writes the refusal after part of the answer. It returns false
+	// if nothing was written yet.
 	refuseLate(r *request.Refusal) bool
 }
 
-// wholeResponder gathers the answer and writes it at its end.
+// wholeResponder buffers the answer and writes it at its end.
 type wholeResponder struct {
 	c      *call
 	answer *caller.Answer
@@ -168,8 +169,8 @@
 
 func (o *wholeResponder) refuseLate(*request.Refusal) bool { return false }
 
-// slowReader is how long a caller may take to read one token.
-const slowReader = 10 * time.Second
+// eventWriteTimeout is how long a client may take to read one token.
+const eventWriteTimeout = 10 * time.Second
 
 // streamResponder writes each token as a server-sent event.
 type streamResponder struct {
@@ -177,12 +178,12 @@
 	answer  *caller.Answer
 	control *http.ResponseController
 	buf     []byte
-	begun   bool
+	started bool
 }
 
 // Token implements dispatch.Sink.
 func (o *streamResponder) Token(text string) error {
-	first := !o.begun
+	first := !o.started
 	if first {
 		o.start()
 	}
@@ -193,14 +194,14 @@
 }
 
 func (o *streamResponder) start() {
-	o.begun = true
+	o.started = true
 	h := o.c.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
 }
 
 func (o *streamResponder) write() error {
-	if err := o.control.SetWriteDeadline(time.Now().Add(slowReader)); err != nil {
+	if err := o.control.SetWriteDeadline(time.Now().Add(eventWriteTimeout)); err != nil {
 		return err
 	}
 
@@ -212,7 +213,7 @@
 }
 
 func (o *streamResponder) finish(dispatch.Result) error {
-	if !o.begun {
+	if !o.started {
 		o.start()
 	}
 
@@ -221,10 +222,10 @@
 	return o.write()
 }
 
-// refuseLate ends the stream with the refusal in place of the end mark, so
-// that a cut answer cannot be taken for a whole one.
+// refuseLate ends the stream with the refusal in place of the end mark, so that
+// a truncated answer cannot be taken for a complete one.
 func (o *streamResponder) refuseLate(r *request.Refusal) bool {
-	if !o.begun {
+	if !o.started {
 		return false
 	}
 
--- a/internal/serving/relay/deliver.go
+++ b/internal/serving/relay/deliver.go
@@ -19,17 +19,18 @@
 )
 
 const (
-	// maxSends bounds how often one request is sent, whatever the budget says.
-	maxSends = 8
-	// sendAgain is the pause after a target said that it did not run a
-	// request, doubled each time: a load that ends later than foretold is late
-	// by a tenth of a second or two.
-	sendAgain = 60 * time.Millisecond
-	// maxBody bounds an answer that is held until it is whole.
-	maxBody = 16 << 20
+	// maxAttempts limits the attempts of one request, whatever the retry budget
+	// allows.
+	maxAttempts = 8
+	// rejectionBackoff is the pause after a target reported that it did not run
+	// a request. It doubles with each attempt: a load that ends later than
+	// predicted is 100 to 200 ms late.
+	rejectionBackoff = 60 * time.Millisecond
+	// maxAnswerBytes limits the size of an answer that is buffered.
+	maxAnswerBytes = 16 << 20
 )
 
-// RejectedError says that a target did not run the request.
+// RejectedError reports that a target did not run the request.
 type RejectedError struct {
 	Target instance.ID
 	Status int
@@ -39,7 +40,7 @@
 	return fmt.Sprintf("target %s: not run, status %d", e.Target, e.Status)
 }
 
-// FailedError says that a target answered with a failure of its own.
+// FailedError reports that a target answered with an error of its own.
 type FailedError struct {
 	Target instance.ID
 	Status int
@@ -49,14 +50,14 @@
 	return fmt.Sprintf("target %s: failed with status %d", e.Target, e.Status)
 }
 
-// callerError is a failure of the caller's side.
+// callerError is a failure to write to the client.
 type callerError struct{ err error }
 
-func (e *callerError) Error() string { return "caller: " + e.err.Error() }
+func (e *callerError) Error() string { return "write to client: " + e.err.Error() }
 
 func (e *callerError) Unwrap() error { return e.err }
 
-// run sends the request until it is answered or must not be sent again.
+// run makes attempts until the request is answered or must not be retried.
 func (d *delivery) run(ctx context.Context) error {
 	for {
 		t, err := d.acquire(ctx)
@@ -76,92 +77,93 @@
 		}
 
 		if ctx.Err() != nil {
-			// The connection was closed because the time is up or the caller
-			// left, which is what the answer goes by.
+			// The deadline or the client's close has closed the connection to
+			// the target; the answer depends on that cause.
 			err = errors.Join(ctx.Err(), err)
 		}
 
-		d.Log.Info().Str("id", d.ask.ID).Str("target", string(t.ID)).Int("send", d.trail.Sends()).Err(err).Msg("attempt failed")
+		d.Log.Info().Str("id", d.info.ID).Str("target", string(t.ID)).Int("send", d.trail.Sends()).Err(err).Msg("attempt failed")
 
-		if !d.mayGoOn(ctx, err) {
+		if !d.mayRetry(ctx, err) {
 			return err
 		}
 
 		d.exclude = append(d.exclude[:0], t.ID)
 
-		if again := d.backOff(ctx, err); again != nil {
-			return errors.Join(again, err)
+		if retryErr := d.awaitRetry(ctx, err); retryErr != nil {
+			return errors.Join(retryErr, err)
 		}
 	}
 }
 
 func (d *delivery) acquire(ctx context.Context) (*router.Target, error) {
-	if d.in(Ending) && !d.begun && d.route.Kind == route.Stream {
-		return nil, stopping()
+	if d.reached(Ending) && !d.headSent && d.route.Kind == route.Stream {
+		return nil, stoppingRefusal()
 	}
 
 	q := router.Query{Suspect: d.suspect, Exclude: d.exclude}
-	if d.ask.Shared != "" {
-		q.Affinity = d.req.Model + " " + d.ask.Shared
+	if d.info.Shared != "" {
+		q.Affinity = d.req.Model + " " + d.info.Shared
 	}
 
-	asked := time.Now()
-	late := time.AfterFunc(noteWait, func() { d.noteWaits() })
+	began := time.Now()
+	waitLog := time.AfterFunc(waitLogDelay, func() { d.logWaiting() })
 	t, cold, err := d.Lines.Acquire(ctx, d.req, q)
 
-	late.Stop()
+	waitLog.Stop()
 
-	d.cold = d.cold || cold
-	d.waited += time.Since(asked)
+	d.coldStart = d.coldStart || cold
+	d.waited += time.Since(began)
 
 	if err == nil {
-		d.noteChoice(t)
+		d.logChoice(t)
 	}
 
 	return t, err
 }
 
-// noteWait is how long a request has no target before a line says so: most
-// have one at once, and the line that ends a request tells of short waits.
-const noteWait = 50 * time.Millisecond
+// waitLogDelay is how long a request waits for a target before that is logged.
+// Most requests get a target at once, and the request's last log line includes
+// short waits.
+const waitLogDelay = 50 * time.Millisecond
 
-// noteWaits says that a request waits, and what the targets that hold its
-// model cannot take it for.
-func (d *delivery) noteWaits() {
+// logWaiting logs that a request waits and why the targets that hold its model
+// cannot accept it.
+func (d *delivery) logWaiting() {
 	s := d.Lines.Standing(d.req.Model)
-	d.Log.Info().Str("id", d.ask.ID).Str("key", d.req.Model).Int("holders", s.Holders).Int("full", s.Full).
+	d.Log.Info().Str("id", d.info.ID).Str("key", d.req.Model).Int("holders", s.Holders).Int("full", s.Full).
 		Int("leaving", s.Leaving).Int("dead", s.Dead).Int("ejected", s.Ejected).Msg("request waits")
 }
 
-// noteChoice says which target was chosen, and by what.
-func (d *delivery) noteChoice(t *router.Target) {
+// logChoice logs the chosen target and the figures behind the choice.
+func (d *delivery) logChoice(t *router.Target) {
 	info := t.Info()
-	d.Log.Info().Str("id", d.ask.ID).Str("key", d.req.Model).Str("target", string(t.ID)).Int("own", t.Own()).
+	d.Log.Info().Str("id", d.info.ID).Str("key", d.req.Model).Str("target", string(t.ID)).Int("own", t.Own()).
 		Int("running", info.Running).Int("slots", info.Slots).Dur("age", t.ReportAge(time.Now())).Msg("target chosen")
 }
 
-// mayGoOn reports whether the request may be sent once more after err.
-func (d *delivery) mayGoOn(ctx context.Context, err error) bool {
-	var caller *callerError
-	if errors.As(err, &caller) || ctx.Err() != nil || d.trail.Sends() >= maxSends || d.in(Ending) && !d.begun {
+// mayRetry reports whether the request may be retried after err.
+func (d *delivery) mayRetry(ctx context.Context, err error) bool {
+	var clientErr *callerError
+	if errors.As(err, &clientErr) || ctx.Err() != nil || d.trail.Sends() >= maxAttempts || d.reached(Ending) && !d.headSent {
 		return false
 	}
 
-	var poisoned *request.Refusal
-	if errors.As(err, &poisoned) {
+	var refusal *request.Refusal
+	if errors.As(err, &refusal) {
 		return false
 	}
 
-	if notRun(err) {
+	if provedNotRun(err) {
 		return true
 	}
 
-	return d.route.Repeatable() && d.ran < d.route.Attempts
+	return d.route.Repeatable() && d.runs < d.route.Attempts
 }
 
-// notRun reports whether the error proves that the target did not run the
+// provedNotRun reports whether the error proves that the target did not run the
 // request.
-func notRun(err error) bool {
+func provedNotRun(err error) bool {
 	var (
 		dial     *DialError
 		rejected *RejectedError
@@ -170,16 +172,16 @@
 	return errors.As(err, &dial) || errors.As(err, &rejected)
 }
 
-// OverBudgetError says that a request may not be sent once more.
-type OverBudgetError struct{ Service string }
+// RetryBudgetError reports that the service's retry budget is exhausted.
+type RetryBudgetError struct{ Service string }
 
-func (e *OverBudgetError) Error() string { return "no repeat left for service " + e.Service }
+func (e *RetryBudgetError) Error() string { return "no repeat left for service " + e.Service }
 
-// backOff waits until the request may be sent once more. One that did not reach
-// its target takes no share of the repeats, which bound what arrives at targets.
-// One that was rejected gives its target a moment, and waits for its share as
-// long as it may wait in line; for any other the share must be there now.
-func (d *delivery) backOff(ctx context.Context, err error) error {
+// awaitRetry waits until the request may be retried. The retry budget limits
+// the requests that reach targets, so a request that did not reach its target
+// costs nothing. A rejected one backs off, then waits for its budget as long as
+// it may stay queued. For any other, the budget must allow the retry at once.
+func (d *delivery) awaitRetry(ctx context.Context, err error) error {
 	var (
 		dial     *DialError
 		rejected *RejectedError
@@ -189,27 +191,27 @@
 	case errors.As(err, &dial):
 		return nil
 	case !errors.As(err, &rejected):
-		if d.paid.Swap(false) || d.Budgets.Take(d.service, time.Now()) {
+		if d.retryReserved.Swap(false) || d.Budgets.TryWithdraw(d.service, time.Now()) {
 			return nil
 		}
 
-		return &OverBudgetError{Service: d.service}
+		return &RetryBudgetError{Service: d.service}
 	}
 
-	if err := clock.Sleep(ctx, sendAgain<<min(d.trail.Sends()-1, 3)); err != nil { //nolint:mnd // At most eightfold.
+	if err := clock.Sleep(ctx, rejectionBackoff<<min(d.trail.Sends()-1, 3)); err != nil { //nolint:mnd // At most 8 times the base.
 		return err
 	}
 
-	for !d.Budgets.Take(d.service, time.Now()) {
-		if d.in(Ending) && !d.begun {
-			return stopping()
+	for !d.Budgets.TryWithdraw(d.service, time.Now()) {
+		if d.reached(Ending) && !d.headSent {
+			return stoppingRefusal()
 		}
 
-		if !time.Now().Add(budgetPause).Before(d.req.Deadline) {
-			return &OverBudgetError{Service: d.service}
+		if !time.Now().Add(budgetPollInterval).Before(d.req.Deadline) {
+			return &RetryBudgetError{Service: d.service}
 		}
 
-		if err := clock.Sleep(ctx, budgetPause); err != nil {
+		if err := clock.Sleep(ctx, budgetPollInterval); err != nil {
 			return err
 		}
 	}
@@ -217,83 +219,83 @@
 	return nil
 }
 
-// budgetPause is how often a rejected request asks for its share of the
-// repeats: an entry's share of the burst flows back at about one in three
+// budgetPollInterval is how often a rejected request checks the retry budget.
+// An entry's share of the burst is refilled at about one retry in three
 // seconds, and its requests earn more.
-const budgetPause = 250 * time.Millisecond
+const budgetPollInterval = 250 * time.Millisecond
 
-// attempt sends the request to the target and passes its answer on.
+// attempt sends the request to the target and forwards its answer.
 func (d *delivery) attempt(ctx context.Context, t *router.Target) error {
 	n := d.trail.Send()
 	sent := time.Now()
 
 	if n == 0 {
-		d.Budgets.Earn(d.service, sent)
+		d.Budgets.Deposit(d.service, sent)
 	}
 
-	last := d.last
-	if last == "" {
-		last = d.ask.After
+	lastEvent := d.lastEvent
+	if lastEvent == "" {
+		lastEvent = d.info.After
 	}
 
 	out := &outgoing{
-		method: d.r.Method, uri: d.r.RequestURI, host: d.r.Host, id: d.ask.ID,
+		method: d.r.Method, uri: d.r.RequestURI, host: d.r.Host, id: d.info.ID,
 		header: d.Protocol.Outgoing(d.r.Header, Sending{
-			Left: d.deadline.Sub(sent), Target: t.ID, After: last, Ranked: d.ranked, Priority: d.priority(),
-			Keyed: d.keyed, Team: d.teamName(),
+			Left: d.deadline.Sub(sent), Target: t.ID, After: lastEvent, Ranked: d.prioritised, Priority: d.priority(),
+			Keyed: d.keysInUse, Team: d.teamName(),
 		}),
-		body: d.body, hasBody: d.r.ContentLength != 0, fresh: !d.route.Repeatable(),
+		body: d.body, hasBody: d.r.ContentLength != 0, newConn: !d.route.Repeatable(),
 	}
 
 	a, err := d.Pool.exchange(ctx, t, out, d.Protocol)
 	if err != nil {
-		return d.failed(ctx, t, n, err)
+		return d.handleSendError(ctx, t, n, err)
 	}
 
 	if a.mark.NotRun {
-		return d.rejected(t, n, a)
+		return d.handleRejection(t, n, a)
 	}
 
-	d.ran++
+	d.runs++
 
-	if err := d.deliver(t, n, a, sent); err != nil {
-		return d.blame(ctx, t, err)
+	if err := d.deliverAnswer(t, n, a, sent); err != nil {
+		return d.checkCrash(ctx, t, err)
 	}
 
 	return nil
 }
 
-// failed judges a sending without an answer.
-func (d *delivery) failed(ctx context.Context, t *router.Target, n int, err error) error {
+// handleSendError records an attempt that got no answer.
+func (d *delivery) handleSendError(ctx context.Context, t *router.Target, n int, err error) error {
 	var dial *DialError
 	if errors.As(err, &dial) {
 		d.trail.Learn(n, request.NotReached)
 
 		if ctx.Err() == nil {
-			d.suspectTarget(t)
+			d.markUnreachable(t)
 		}
 
 		return err
 	}
 
-	d.ran++
+	d.runs++
 
-	return d.blame(ctx, t, err)
+	return d.checkCrash(ctx, t, err)
 }
 
-// suspectTarget keeps requests away from a target that cannot be reached.
-func (d *delivery) suspectTarget(t *router.Target) {
+// markUnreachable keeps requests away from a target that cannot be reached.
+func (d *delivery) markUnreachable(t *router.Target) {
 	now := time.Now()
 	t.Failed(now)
 
-	if d.noteDeath(t, t.Info().Incarnation, now) {
+	if d.recordDeath(t, t.Info().Incarnation, now) {
 		d.Log.Warn().Str("target", string(t.ID)).Msg("target not reached")
 	}
 }
 
-// noteDeath records that a target's process takes no connection, and reports
-// whether that is news, which is then passed on.
-func (d *delivery) noteDeath(t *router.Target, incarnation string, now time.Time) bool {
+// recordDeath records that a target's process accepts no connection. If that was
+// unknown before, it calls the server's callback and returns true.
+func (d *delivery) recordDeath(t *router.Target, incarnation string, now time.Time) bool {
 	if !t.Died(incarnation, now) {
 		return false
 	}
@@ -305,12 +307,12 @@
 	return true
 }
 
-// rejected records that the target did not run the request.
-func (d *delivery) rejected(t *router.Target, n int, a *answer) error {
+// handleRejection records that the target did not run the request.
+func (d *delivery) handleRejection(t *router.Target, n int, a *answer) error {
 	d.trail.Learn(n, request.ProvedNotRun)
 
-	if _, err := io.Copy(io.Discard, io.LimitReader(a.Body, maxHead)); err == nil {
-		a.finish()
+	if _, err := io.Copy(io.Discard, io.LimitReader(a.Body, maxHeadBytes)); err == nil {
+		a.release()
 	} else {
 		a.abandon()
 	}
@@ -325,29 +327,29 @@
 	return &RejectedError{Target: t.ID, Status: a.StatusCode}
 }
 
-// blame finds out whether the target died under the request.
+// checkCrash checks whether the target died while it ran the request.
 //
-// It guards against a request that crashes every target that runs it: a target
-// counts as dead only if it refuses a new connection right after, so that a
-// lost answer alone blames nobody.
-func (d *delivery) blame(ctx context.Context, t *router.Target, err error) error {
-	var caller *callerError
+// Requests that crash every target that runs them must be blocked. A target
+// counts as dead only if it refuses a new connection right after the failure,
+// so that a lost answer alone makes no request suspect.
+func (d *delivery) checkCrash(ctx context.Context, t *router.Target, err error) error {
+	var clientErr *callerError
 
 	var failed *FailedError
-	if errors.As(err, &caller) || errors.As(err, &failed) || ctx.Err() != nil {
+	if errors.As(err, &clientErr) || errors.As(err, &failed) || ctx.Err() != nil {
 		return err
 	}
 
 	t.Failed(time.Now())
 
-	if !broken(err) {
+	if !connectionBroken(err) {
 		return err
 	}
 
 	probe, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 
-	c, dialErr := d.Pool.get(probe, peerKey{t.ID, t.Address}, true)
+	c, dialErr := d.Pool.get(probe, targetKey{t.ID, t.Address}, true)
 	if dialErr == nil {
 		d.Pool.put(c, 0)
 
@@ -355,8 +357,8 @@
 	}
 
 	incarnation := t.Info().Incarnation
-	d.noteDeath(t, incarnation, time.Now())
-	d.Log.Warn().Str("id", d.ask.ID).Str("target", string(t.ID)).Msg("target died under a request")
+	d.recordDeath(t, incarnation, time.Now())
+	d.Log.Warn().Str("id", d.info.ID).Str("target", string(t.ID)).Msg("target died under a request")
 
 	if d.Lines.Died(d.req.Fingerprint(), crash.Death{Target: t.ID, Incarnation: incarnation}) {
 		return d.trail.Refuse(request.Poisoned, 0, "targets crashed while they ran this request")
@@ -365,73 +367,74 @@
 	return err
 }
 
-// broken reports whether a connection ended under a request.
-func broken(err error) bool {
+// connectionBroken reports whether the error is a connection that ended during
+// a request.
+func connectionBroken(err error) bool {
 	var opErr *net.OpError
 
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.As(err, &opErr)
 }
 
-// whole is an answer that was read to its end.
-type whole struct {
+// bufferedAnswer is an answer that was read completely.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-func (a *whole) write(d *delivery) {
+func (a *bufferedAnswer) write(d *delivery) {
 	h := d.w.Header()
 	for name, values := range a.header {
 		h[name] = values
 	}
 
-	if _, typed := h["Content-Type"]; !typed {
-		// The target named no type, so none is guessed.
+	if _, hasType := h["Content-Type"]; !hasType {
+		// The target set no type. Prevent net/http from guessing one.
 		h["Content-Type"] = nil
 	}
 
 	d.w.WriteHeader(a.status)
-	_, _ = d.w.Write(a.body) // A caller that left gets nothing, and the server notices.
+	_, _ = d.w.Write(a.body) // The server notices a client that has left.
 }
 
-// deliver passes a target's answer on.
-func (d *delivery) deliver(t *router.Target, n int, a *answer, sent time.Time) error {
+// deliverAnswer forwards a target's answer.
+func (d *delivery) deliverAnswer(t *router.Target, n int, a *answer, sent time.Time) error {
 	if !a.mark.Signed || a.Header.Get("Content-Encoding") != "" {
 		a.abandon()
 
-		return &GarbledError{Reason: "not signed, or encoded"}
+		return &InvalidAnswerError{Reason: "not signed, or encoded"}
 	}
 
 	if d.route.Kind == route.Stream && a.StatusCode == http.StatusOK {
-		return d.pass(t, n, a, sent)
+		return d.forwardStream(t, n, a, sent)
 	}
 
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxBody))
-	if err != nil || len(body) == maxBody {
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes))
+	if err != nil || len(body) == maxAnswerBytes {
 		a.abandon()
 
-		return errors.Join(&GarbledError{Reason: "answer cut short"}, err)
+		return errors.Join(&InvalidAnswerError{Reason: "answer cut short"}, err)
 	}
 
-	a.finish()
+	a.release()
 	d.trail.Learn(n, request.Completed)
 
-	got := &whole{status: a.StatusCode, header: d.Protocol.Incoming(a.Header), body: body}
+	whole := &bufferedAnswer{status: a.StatusCode, header: d.Protocol.Incoming(a.Header), body: body}
 
 	if a.StatusCode >= http.StatusInternalServerError {
-		d.fallback = got
+		d.fallback = whole
 
 		return &FailedError{Target: t.ID, Status: a.StatusCode}
 	}
 
-	if d.begun {
-		// A resumed stream was answered with something else.
+	if d.headSent {
+		// A resumed stream must be answered with a stream.
 		return &FailedError{Target: t.ID, Status: a.StatusCode}
 	}
 
-	d.first = time.Since(d.arrived)
+	d.firstByte = time.Since(d.arrived)
 	t.Succeeded(time.Since(sent), t.Own())
-	got.write(d)
+	whole.write(d)
 
 	return nil
 }
--- a/internal/serving/relay/identify_test.go
+++ b/internal/serving/relay/identify_test.go
@@ -20,7 +20,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/route"
 )
 
-// keyedProtocol is testProtocol for callers with keys.
+// keyedProtocol is testProtocol for clients with keys.
 type keyedProtocol struct{ testProtocol }
 
 func (p keyedProtocol) Parse(h http.Header) (Ask, error) {
@@ -44,7 +44,7 @@
 	return out
 }
 
-func teams(t *testing.T, all ...team.Team) team.Set {
+func newTeams(t *testing.T, all ...team.Team) team.Set {
 	t.Helper()
 
 	s, err := team.NewSet(all)
@@ -53,26 +53,27 @@
 	return s
 }
 
-func one(name, text string) team.Team {
+func teamWithKey(name, text string) team.Team {
 	return team.Team{Name: name, Keys: []key.Digest{key.DigestOf(text)}}
 }
 
-// keyed is a world whose route asks for keys.
-func keyed(t *testing.T, public bool) *world {
+// newKeyedFixture returns a fixture whose route requires keys unless it is
+// public.
+func newKeyedFixture(t *testing.T, public bool) *fixture {
 	t.Helper()
 
-	w := newWorld(t, func(_ int, _ call, out io.Writer, _ net.Conn) { say(out, "200 OK", "", "done") },
+	w := newFixture(t, func(_ int, _ call, out io.Writer, _ net.Conn) { writeAnswer(out, "200 OK", "", "done") },
 		route.Route{Kind: route.Idempotent, Timeout: 5 * time.Second, Priority: 4, Public: public})
 	w.server.Protocol = keyedProtocol{}
 
-	urgent := one("b", "kb")
+	urgent := teamWithKey("b", "kb")
 	urgent.Ranked, urgent.Priority = true, 0
-	w.config.Teams = teams(t, one("a", "ka"), urgent)
+	w.config.Teams = newTeams(t, teamWithKey("a", "ka"), urgent)
 
 	return w
 }
 
-func TestIdentified(t *testing.T) {
+func TestAuthentication(t *testing.T) {
 	cases := map[string]struct {
 		public        bool
 		authorization string
@@ -80,20 +81,20 @@
 		team          string
 	}{
 		"a team's key":                 {false, "Bearer ka", 200, "a"},
-		"another's":                    {false, "bearer  kb", 200, "b"},
-		"none":                         {false, "", 401, ""},
-		"unknown":                      {false, "Bearer kc", 401, ""},
+		"another team's key":           {false, "bearer  kb", 200, "b"},
+		"no key":                       {false, "", 401, ""},
+		"unknown key":                  {false, "Bearer kc", 401, ""},
 		"another scheme":               {false, "Basic ka", 401, ""},
-		"none on a public route":       {true, "", 200, ""},
-		"unknown on a public route":    {true, "Bearer kc", 200, ""},
+		"no key on a public route":     {true, "", 200, ""},
+		"unknown key on public route":  {true, "Bearer kc", 200, ""},
 		"a team's key on public route": {true, "Bearer ka", 200, "a"},
 	}
 
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := keyed(t, tc.public)
-				defer w.end()
+				w := newKeyedFixture(t, tc.public)
+				defer w.close()
 
 				header := []string{"Team", "forged"}
 				if tc.authorization != "" {
@@ -110,7 +111,7 @@
 					return
 				}
 
-				got := w.got()[0].header
+				got := w.received()[0].header
 				assert.Equal(t, got.Get("Authorization"), "")
 				assert.Equal(t, got.Get("Team"), tc.team)
 			})
@@ -118,28 +119,29 @@
 	}
 }
 
-// TestTeamPriority: a team's rank goes before its route's.
+// TestTeamPriority checks that a team's priority takes precedence over its
+// route's.
 func TestTeamPriority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := keyed(t, false)
-		defer w.end()
+		w := newKeyedFixture(t, false)
+		defer w.close()
 
 		_, _ = w.do(t.Context(), "x", "Authorization", "Bearer ka")
 		_, _ = w.do(t.Context(), "x", "Authorization", "Bearer kb")
-		assert.Equal(t, w.got()[0].header.Get("Priority"), "4")
-		assert.Equal(t, w.got()[1].header.Get("Priority"), "0")
+		assert.Equal(t, w.received()[0].header.Get("Priority"), "4")
+		assert.Equal(t, w.received()[1].header.Get("Priority"), "0")
 	})
 }
 
-// TestKeyOfNewerConfiguration guards against refusing a caller whose key stands
-// in a configuration that this entry has not heard of yet.
+// TestKeyOfNewerConfiguration checks that a client is not refused if its key is
+// in a configuration that this entry has not received yet.
 func TestKeyOfNewerConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := keyed(t, false)
-		defer w.end()
+		w := newKeyedFixture(t, false)
+		defer w.close()
 
 		newer := *w.config
-		newer.Teams = teams(t, one("c", "kc"))
+		newer.Teams = newTeams(t, teamWithKey("c", "kc"))
 		checks := 0
 
 		w.server.Confirm = func(context.Context) {
@@ -149,26 +151,26 @@
 
 		rec, _ := w.do(t.Context(), "x", "Authorization", "Bearer kc")
 		assert.Equal(t, rec.Code, http.StatusOK)
-		assert.Equal(t, w.got()[0].header.Get("Team"), "c")
+		assert.Equal(t, w.received()[0].header.Get("Team"), "c")
 
 		rec, _ = w.do(t.Context(), "x", "Authorization", "Bearer ka")
 		assert.Equal(t, rec.Code, http.StatusUnauthorized)
 		assert.Equal(t, checks, 2)
 
-		// What is no key cannot become one.
+		// Malformed credentials match no configuration, so none is fetched.
 		rec, _ = w.do(t.Context(), "x", "Authorization", "Basic ka")
 		assert.Equal(t, rec.Code, http.StatusUnauthorized)
 		assert.Equal(t, checks, 2)
 	})
 }
 
-// ledger is a limiter that keeps account.
-type ledger struct {
+// fakeLimiter is a Limiter with one balance for all teams.
+type fakeLimiter struct {
 	left    float64
 	unknown bool
 }
 
-func (l *ledger) Charge(_ context.Context, _ *team.Team, cost float64) Charge {
+func (l *fakeLimiter) Charge(_ context.Context, _ *team.Team, cost float64) Charge {
 	if l.unknown || l.left < cost {
 		return Charge{Unknown: l.unknown, RetryAfter: 1500 * time.Millisecond}
 	}
@@ -178,29 +180,30 @@
 	return Charge{Granted: true}
 }
 
-func (l *ledger) Refund(_ *team.Team, cost float64) { l.left += cost }
+func (l *fakeLimiter) Refund(_ *team.Team, cost float64) { l.left += cost }
 
-// limited is a world whose team has a limit, with what is left of it.
-func limited(t *testing.T, act script, left float64) (*world, *ledger) {
+// newLimitedFixture returns a fixture whose team has a limit, with the given
+// balance.
+func newLimitedFixture(t *testing.T, act targetScript, left float64) (*fixture, *fakeLimiter) {
 	t.Helper()
 
-	w := keyed(t, false)
+	w := newKeyedFixture(t, false)
 	w.act = act
 
-	a := one("a", "ka")
+	a := teamWithKey("a", "ka")
 	a.Limit = team.Limit{PerSecond: 100, Burst: 100, Unit: team.Tokens, Plain: 30}
-	w.config.Teams = teams(t, a)
+	w.config.Teams = newTeams(t, a)
 
-	l := &ledger{left: left}
+	l := &fakeLimiter{left: left}
 	w.server.Limits = l
 
 	return w, l
 }
 
-func TestCharged(t *testing.T) {
+func TestCharge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, l := limited(t, func(_ int, _ call, out io.Writer, _ net.Conn) { say(out, "200 OK", "", "done") }, 100)
-		defer w.end()
+		w, l := newLimitedFixture(t, func(_ int, _ call, out io.Writer, _ net.Conn) { writeAnswer(out, "200 OK", "", "done") }, 100)
+		defer w.close()
 
 		rec, _ := w.do(t.Context(), "x", "Authorization", "Bearer ka", "Tokens", "60")
 		assert.Equal(t, rec.Code, http.StatusOK)
@@ -208,7 +211,7 @@
 
 		rec, _ = w.do(t.Context(), "x", "Authorization", "Bearer ka")
 		assert.Equal(t, rec.Code, http.StatusOK)
-		assert.Equal(t, l.left, 10.0, "a request that names no tokens counts as the operators say")
+		assert.Equal(t, l.left, 10.0, "a request without token counts is charged the operators' default")
 
 		rec, _ = w.do(t.Context(), "x", "Authorization", "Bearer ka")
 		assert.Equal(t, rec.Code, http.StatusTooManyRequests)
@@ -222,21 +225,21 @@
 	})
 }
 
-// TestGivenBack: what was counted for a request that provably did not run is
-// given back, and nothing else is.
-func TestGivenBack(t *testing.T) {
+// TestRefund checks that the charge for a request is refunded if it provably
+// did not run, and only then.
+func TestRefund(t *testing.T) {
 	for name, tc := range map[string]struct {
-		act  script
+		act  targetScript
 		left float64
 	}{
-		"not run":      {func(_ int, _ call, out io.Writer, _ net.Conn) { say(out, "503 Full", "Not-Run: 1\r\n", "") }, 100},
-		"run":          {func(_ int, _ call, out io.Writer, _ net.Conn) { say(out, "500 No", "", "") }, 70},
+		"not run":      {func(_ int, _ call, out io.Writer, _ net.Conn) { writeAnswer(out, "503 Full", "Not-Run: 1\r\n", "") }, 100},
+		"run":          {func(_ int, _ call, out io.Writer, _ net.Conn) { writeAnswer(out, "500 No", "", "") }, 70},
 		"may have run": {func(_ int, _ call, _ io.Writer, conn net.Conn) { conn.Close() }, 70},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w, l := limited(t, tc.act, 100)
-				defer w.end()
+				w, l := newLimitedFixture(t, tc.act, 100)
+				defer w.close()
 
 				_, _ = w.do(t.Context(), "x", "Authorization", "Bearer ka")
 				assert.Equal(t, l.left, tc.left)
@@ -245,19 +248,19 @@
 	}
 }
 
-// TestKeysAreInNoLog guards against keys in what a process writes.
-func TestKeysAreInNoLog(t *testing.T) {
+// TestNoKeysInLog checks that the log contains no keys.
+func TestNoKeysInLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log bytes.Buffer
 
-		w, l := limited(t, func(n int, _ call, out io.Writer, conn net.Conn) {
+		w, l := newLimitedFixture(t, func(n int, _ call, out io.Writer, conn net.Conn) {
 			if n%2 == 0 {
 				conn.Close()
 			}
 
-			say(out, "200 OK", "", "done")
+			writeAnswer(out, "200 OK", "", "done")
 		}, 70)
-		defer w.end()
+		defer w.close()
 
 		w.server.Log = zerolog.New(&log)
 
--- a/internal/serving/relay/relay_test.go
+++ b/internal/serving/relay/relay_test.go
@@ -26,7 +26,8 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/router"
 )
 
-// testProtocol has headers of its own, so that these tests need no platform.
+// testProtocol has headers of its own, which keeps these tests independent of
+// the platform.
 type testProtocol struct{}
 
 func (testProtocol) Parse(h http.Header) (Ask, error) {
@@ -66,36 +67,36 @@
 	}
 }
 
-// call is a request as a target got it.
+// call is a request as a target received it.
 type call struct {
 	target instance.ID
 	header http.Header
 	body   string
-	// on counts the requests on this connection.
-	on int
-	at time.Time
+	// onConn is the request's number on its connection, from 1.
+	onConn int
+	at     time.Time
 }
 
-// script is what the targets do with the nth request that reaches any of them.
-type script func(n int, c call, w io.Writer, conn net.Conn)
+// targetScript handles the nth request that reaches any target.
+type targetScript func(n int, c call, w io.Writer, conn net.Conn)
 
-// world has targets a and b behind a relay, on pipes.
-type world struct {
+// fixture is a server with targets a and b, connected by pipes.
+type fixture struct {
 	t       *testing.T
 	server  *Server
 	config  *route.Config
 	table   *route.Table
 	targets *router.Table
-	act     script
+	act     targetScript
 
 	mu    sync.Mutex
 	calls []call
-	// closed is when the relay closed a connection under a request.
+	// closed is when the server closed a connection during a request.
 	closed time.Time
 	down   map[instance.ID]bool
 }
 
-func newWorld(t *testing.T, act script, r route.Route) *world {
+func newFixture(t *testing.T, act targetScript, r route.Route) *fixture {
 	t.Helper()
 
 	if r.Attempts == 0 {
@@ -105,7 +106,7 @@
 	r.Name, r.Host, r.Prefix = "r", "host", "/p/"
 	r.Splits = []route.Split{{Service: "s", Weight: 1}}
 
-	w := &world{t: t, act: act, down: make(map[instance.ID]bool), config: &route.Config{
+	w := &fixture{t: t, act: act, down: make(map[instance.ID]bool), config: &route.Config{
 		Version: 1, Routes: []route.Route{r}, Services: map[string]route.Service{"s": {Name: "s"}},
 	}}
 	w.table = route.NewTable(w.config)
@@ -122,13 +123,13 @@
 	}
 	w.server.Budgets.Share(1)
 	w.targets = targets
-	w.list(1)
+	w.listTargets(1)
 
 	return w
 }
 
-// list makes both targets known, as new processes for each number.
-func (w *world) list(number uint64) {
+// listTargets publishes both targets, as new processes for each number.
+func (w *fixture) listTargets(number uint64) {
 	s := &router.Snapshot{Token: 1, Number: number}
 	for i, id := range []instance.ID{"a", "b"} {
 		s.Targets = append(s.Targets, router.TargetInfo{
@@ -140,7 +141,7 @@
 	w.targets.Apply(s, time.Now())
 }
 
-func (w *world) dial(_ context.Context, address netip.AddrPort) (net.Conn, error) {
+func (w *fixture) dial(_ context.Context, address netip.AddrPort) (net.Conn, error) {
 	id := instance.ID("a")
 	if address.Port() == 2 {
 		id = "b"
@@ -162,7 +163,7 @@
 }
 
 // target serves one connection.
-func (w *world) target(id instance.ID, conn net.Conn) {
+func (w *fixture) target(id instance.ID, conn net.Conn) {
 	r := bufio.NewReader(conn)
 
 	for on := 1; ; on++ {
@@ -178,7 +179,7 @@
 		body, _ := io.ReadAll(req.Body)
 
 		w.mu.Lock()
-		c := call{target: id, header: req.Header, body: string(body), on: on, at: time.Now()}
+		c := call{target: id, header: req.Header, body: string(body), onConn: on, at: time.Now()}
 		w.calls = append(w.calls, c)
 		n := len(w.calls)
 		w.mu.Unlock()
@@ -187,15 +188,15 @@
 	}
 }
 
-// recorder is a ResponseWriter that allows read deadlines, as a connection
+// recorder is a ResponseWriter that accepts read deadlines, as a connection
 // does.
 type recorder struct{ *httptest.ResponseRecorder }
 
 func (recorder) SetReadDeadline(time.Time) error { return nil }
 
-// do sends a request and returns its answer; aborted says that the connection
-// was closed under it.
-func (w *world) do(ctx context.Context, body string, header ...string) (rec *httptest.ResponseRecorder, aborted bool) {
+// do sends a request and returns its answer; aborted is set if the connection
+// was closed before the answer's end.
+func (w *fixture) do(ctx context.Context, body string, header ...string) (rec *httptest.ResponseRecorder, aborted bool) {
 	req := httptest.NewRequestWithContext(ctx, http.MethodPost, "http://host/p/x?q=1", strings.NewReader(body))
 	req.RequestURI = "/p/x?q=1"
 	req.Header.Set("Id", "one")
@@ -220,15 +221,15 @@
 	return rec, false
 }
 
-// got returns what has reached the targets.
-func (w *world) got() []call {
+// received returns the requests that reached the targets.
+func (w *fixture) received() []call {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
 	return w.calls
 }
 
-func (w *world) sends() int {
+func (w *fixture) sends() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
@@ -237,13 +238,13 @@
 
 const head = "HTTP/1.1 %s\r\nSigned: x\r\nId: one\r\n"
 
-func say(w io.Writer, status, extra, body string) {
+func writeAnswer(w io.Writer, status, extra, body string) {
 	_, _ = fmt.Fprintf(w, head+"%sContent-Length: %d\r\n\r\n%s", status, extra, len(body), body)
 }
 
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: x\n\n", id) }
 
-// stream sends events from one id to another, and the end if whole.
+// stream sends the events with ids from to to, and the end if whole is set.
 func stream(w io.Writer, from, to int, whole bool) {
 	_, _ = fmt.Fprintf(w, head+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", "200 OK")
 
@@ -256,31 +257,31 @@
 	}
 }
 
-// TestOutcomes holds what callers get for what targets do, and how often a
-// request is sent.
+// TestOutcomes checks, for each behaviour of the targets, what the client gets
+// and how many attempts are made.
 func TestOutcomes(t *testing.T) {
 	once := route.Route{Kind: route.Once, Timeout: 5 * time.Second}
 	idempotent := route.Route{Kind: route.Idempotent, Timeout: 5 * time.Second}
 	stepwise := route.Route{Kind: route.Stream, Timeout: 5 * time.Second}
 	resumable := route.Route{Kind: route.Stream, Resumable: true, Timeout: 5 * time.Second}
 	cut := func(_ int, _ call, _ io.Writer, conn net.Conn) { conn.Close() }
-	ok := func(w io.Writer) { say(w, "200 OK", "", "done") }
+	ok := func(w io.Writer) { writeAnswer(w, "200 OK", "", "done") }
 
 	cases := map[string]struct {
 		route route.Route
-		act   script
-		// status and body are what the caller gets, aborted that its
-		// connection is closed.
+		act   targetScript
+		// status and body are what the client gets; aborted is set if its
+		// connection is closed before the answer's end.
 		status  int
 		body    string
 		aborted bool
 		sends   int
 		retry   bool
 	}{
-		"a whole answer":                    {once, func(_ int, _ call, w io.Writer, _ net.Conn) { ok(w) }, 200, "done", false, 1, false},
-		"a target's own failure":            {once, func(_ int, _ call, w io.Writer, _ net.Conn) { say(w, "500 No", "", "why") }, 500, "why", false, 1, false},
-		"no answer to what runs once":       {once, cut, 502, "", false, 1, false},
-		"no answer to what may be repeated": {idempotent, cut, 502, "", false, 2, false},
+		"a complete answer":                         {once, func(_ int, _ call, w io.Writer, _ net.Conn) { ok(w) }, 200, "done", false, 1, false},
+		"an error of the target":                    {once, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "500 No", "", "why") }, 500, "why", false, 1, false},
+		"no answer to a request that must run once": {once, cut, 502, "", false, 1, false},
+		"no answer to an idempotent request":        {idempotent, cut, 502, "", false, 2, false},
 		"one answer lost": {idempotent, func(n int, c call, w io.Writer, conn net.Conn) {
 			if n == 1 {
 				cut(n, c, w, conn)
@@ -288,9 +289,9 @@
 
 			ok(w)
 		}, 200, "done", false, 2, false},
-		"a failure, then a success": {idempotent, func(n int, _ call, w io.Writer, _ net.Conn) {
+		"an error, then a success": {idempotent, func(n int, _ call, w io.Writer, _ net.Conn) {
 			if n == 1 {
-				say(w, "500 No", "", "why")
+				writeAnswer(w, "500 No", "", "why")
 
 				return
 			}
@@ -299,26 +300,26 @@
 		}, 200, "done", false, 2, false},
 		"rejected, then run": {once, func(n int, _ call, w io.Writer, _ net.Conn) {
 			if n == 1 {
-				say(w, "503 Full", "Not-Run: 1\r\n", "")
+				writeAnswer(w, "503 Full", "Not-Run: 1\r\n", "")
 
 				return
 			}
 
 			ok(w)
 		}, 200, "done", false, 2, false},
-		"rejected by all": {once, func(_ int, _ call, w io.Writer, _ net.Conn) { say(w, "503 Full", "Not-Run: 1\r\n", "") }, 503, "", false, maxSends, true},
+		"rejected by every target": {once, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "503 Full", "Not-Run: 1\r\n", "") }, 503, "", false, maxAttempts, true},
 		"an answer that is not signed": {once, func(_ int, _ call, w io.Writer, _ net.Conn) {
 			_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhm")
 		}, 502, "", false, 1, false},
-		"bytes that are no answer": {once, func(_ int, _ call, w io.Writer, _ net.Conn) {
+		"bytes that are not HTTP": {once, func(_ int, _ call, w io.Writer, _ net.Conn) {
 			_, _ = io.WriteString(w, "what?\r\n\r\n")
 		}, 502, "", false, 1, false},
-		"an answer cut short": {once, func(_ int, _ call, w io.Writer, conn net.Conn) {
+		"a truncated answer": {once, func(_ int, _ call, w io.Writer, conn net.Conn) {
 			_, _ = fmt.Fprintf(w, head+"Content-Length: 9\r\n\r\nhalf", "200 OK")
 
 			conn.Close()
 		}, 502, "", false, 1, false},
-		"an answer for somebody else": {once, func(_ int, _ call, w io.Writer, _ net.Conn) {
+		"an answer to another request": {once, func(_ int, _ call, w io.Writer, _ net.Conn) {
 			_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nSigned: x\r\nId: two\r\nContent-Length: 0\r\n\r\n")
 		}, 502, "", false, 1, false},
 		"an answer that ends with its connection": {once, func(_ int, _ call, w io.Writer, conn net.Conn) {
@@ -331,11 +332,11 @@
 			ok(w)
 		}, 200, "done", false, 1, false},
 		"a stream": {stepwise, func(_ int, _ call, w io.Writer, _ net.Conn) { stream(w, 1, 3, true) }, 200, event(1) + event(2) + event(3), false, 1, false},
-		"a stream cut": {stepwise, func(_ int, _ call, w io.Writer, conn net.Conn) {
+		"a stream cut between events": {stepwise, func(_ int, _ call, w io.Writer, conn net.Conn) {
 			stream(w, 1, 2, false)
 			conn.Close()
 		}, 200, event(1) + event(2), true, 1, false},
-		"a stream cut in an event": {stepwise, func(_ int, _ call, w io.Writer, conn net.Conn) {
+		"a stream cut within an event": {stepwise, func(_ int, _ call, w io.Writer, conn net.Conn) {
 			stream(w, 1, 2, false)
 			_, _ = io.WriteString(w, "6\r\nid: 3\n\r\n")
 
@@ -348,11 +349,11 @@
 
 				return
 			}
-			// This target goes on one event too early.
+			// This target repeats an event that was already forwarded.
 			assert.Equal(t, c.header.Get("After"), "2")
 			stream(w, 2, 4, true)
 		}, 200, event(1) + event(2) + event(3) + event(4), false, 2, false},
-		"a stream that falls silent": {resumable, func(n int, _ call, w io.Writer, _ net.Conn) {
+		"a stream that stops sending events": {resumable, func(n int, _ call, w io.Writer, _ net.Conn) {
 			if n == 1 {
 				stream(w, 1, 2, false)
 				time.Sleep(time.Minute)
@@ -367,7 +368,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, c.act, c.route)
+				w := newFixture(t, c.act, c.route)
 				rec, aborted := w.do(t.Context(), "body")
 
 				assert.Equal(t, rec.Code, c.status)
@@ -380,32 +381,32 @@
 					assert.Equal(t, rec.Header().Get("Signed"), "x")
 				}
 
-				for _, got := range w.got() {
+				for _, got := range w.received() {
 					assert.Equal(t, got.body, "body")
 				}
 
-				w.end()
+				w.close()
 			})
 		})
 	}
 }
 
-// end lets the targets' goroutines go, so that the bubble ends.
-func (w *world) end() {
+// close ends the targets' goroutines, so that the synctest bubble can end.
+func (w *fixture) close() {
 	time.Sleep(2 * time.Minute)
 	w.server.Pool.Sweep(time.Now())
 	synctest.Wait()
 }
 
-// TestSecondAnswerIsPassedOver: a target answers a request twice. The second
-// answer arrives where the next one is expected, on a connection that is kept,
-// and the next caller would get somebody else's booking.
-func TestSecondAnswerIsPassedOver(t *testing.T) {
+// TestSecondAnswerIsSkipped covers a target that answers a request twice. The
+// second answer arrives where the next one is expected, on a reused connection,
+// and the next client would get the answer to another client's request.
+func TestSecondAnswerIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, func(n int, c call, w io.Writer, _ net.Conn) {
+		w := newFixture(t, func(n int, c call, w io.Writer, _ net.Conn) {
 			id := c.header.Get("Id")
 
-			if c.on > 1 {
+			if c.onConn > 1 {
 				_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nSigned: x\r\nId: one\r\nContent-Length: 5\r\n\r\nagain")
 			}
 
@@ -418,37 +419,37 @@
 			assert.Equal(t, rec.Body.String(), id)
 		}
 
-		assert.Equal(t, w.got()[1].on, 2, "the connection was not kept, so nothing was shown")
-		w.end()
+		assert.Equal(t, w.received()[1].onConn, 2, "the connection was not reused, so the test shows nothing")
+		w.close()
 	})
 }
 
-// TestOnceUsesNewConnections: what must not run twice never follows another
-// request on a connection, where a late answer to that could be taken for its
-// own.
+// TestOnceUsesNewConnections checks that a request that must not run twice
+// never follows another one on a connection, where a late answer to that one
+// could be taken for its own.
 func TestOnceUsesNewConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, func(_ int, _ call, w io.Writer, _ net.Conn) { say(w, "200 OK", "", "") },
+		w := newFixture(t, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "200 OK", "", "") },
 			route.Route{Kind: route.Once, Timeout: time.Second})
 
 		for range 3 {
 			w.do(t.Context(), "")
 		}
 
-		for _, c := range w.got() {
-			assert.Equal(t, c.on, 1)
+		for _, c := range w.received() {
+			assert.Equal(t, c.onConn, 1)
 		}
 
-		w.end()
+		w.close()
 	})
 }
 
-// TestEarlyAnswer: a target refuses a long body before it has read it, and
-// would read on later. The rest of the connection must not be used, or it
-// takes the next request for the rest of the body.
+// TestEarlyAnswer covers a target that refuses a long body before it has read
+// it, and goes on reading. The connection must not be reused, since the target
+// would take the next request for the rest of the body.
 func TestEarlyAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, nil, route.Route{Kind: route.Idempotent, Timeout: time.Second})
+		w := newFixture(t, nil, route.Route{Kind: route.Idempotent, Timeout: time.Second})
 		w.server.Pool.Dial = func(context.Context, netip.AddrPort) (net.Conn, error) {
 			near, far := net.Pipe()
 
@@ -461,7 +462,7 @@
 					line, _ = r.ReadString('\n')
 				}
 
-				say(far, "413 Long", "", "too long")
+				writeAnswer(far, "413 Long", "", "too long")
 
 				_, _ = io.Copy(io.Discard, r)
 
@@ -473,20 +474,21 @@
 			return near, nil
 		}
 
-		rec, _ := w.do(t.Context(), strings.Repeat("x", 10*writeInline))
+		rec, _ := w.do(t.Context(), strings.Repeat("x", 10*maxInlineBody))
 		assert.Equal(t, rec.Code, http.StatusRequestEntityTooLarge)
 		synctest.Wait()
-		assert.Assert(t, !w.closed.IsZero(), "the connection was kept")
-		w.end()
+		assert.Assert(t, !w.closed.IsZero(), "the connection was kept open")
+		w.close()
 	})
 }
 
-// TestCallerLeaves: the caller closes its connection while a target works for
-// it. The target must stop at once, and nothing is sent any more.
+// TestCallerLeaves covers a client that closes its connection while a target
+// works for it. The target must be stopped at once, and no further attempt may
+// follow.
 func TestCallerLeaves(t *testing.T) {
 	for _, kind := range []route.Kind{route.Once, route.Idempotent, route.Stream} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, func(int, call, io.Writer, net.Conn) {}, route.Route{Kind: kind, Timeout: 9 * time.Second})
+			w := newFixture(t, func(int, call, io.Writer, net.Conn) {}, route.Route{Kind: kind, Timeout: 9 * time.Second})
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 
 			defer cancel()
@@ -497,45 +499,45 @@
 			synctest.Wait()
 			assert.Equal(t, w.closed.Sub(began), time.Second)
 			assert.Equal(t, w.sends(), 1)
-			w.end()
+			w.close()
 		})
 	}
 }
 
-// TestTimeouts holds when a caller is answered whom no target answers, and how
-// long targets are told that they have.
+// TestTimeouts checks when a client is refused if no target answers, and the
+// time that targets are given.
 func TestTimeouts(t *testing.T) {
 	cases := map[string]struct {
 		timeout time.Duration
 		left    string
 		want    time.Duration
 	}{
-		"the route's":  {2 * time.Second, "10000", 2 * time.Second},
-		"the caller's": {20 * time.Second, "3000", 3 * time.Second},
+		"the route's timeout":  {2 * time.Second, "10000", 2 * time.Second},
+		"the client's timeout": {20 * time.Second, "3000", 3 * time.Second},
 	}
 
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, func(int, call, io.Writer, net.Conn) {}, route.Route{Kind: route.Once, Timeout: c.timeout})
+				w := newFixture(t, func(int, call, io.Writer, net.Conn) {}, route.Route{Kind: route.Once, Timeout: c.timeout})
 				began := time.Now()
 				rec, _ := w.do(t.Context(), "", "Left", c.left)
 
 				assert.Equal(t, rec.Code, http.StatusGatewayTimeout)
 				assert.Equal(t, time.Since(began), c.want)
-				assert.Equal(t, w.got()[0].header.Get("Left"), strconv.FormatInt(c.want.Milliseconds(), 10))
-				w.end()
+				assert.Equal(t, w.received()[0].header.Get("Left"), strconv.FormatInt(c.want.Milliseconds(), 10))
+				w.close()
 			})
 		})
 	}
 }
 
-// TestStop holds what a stopping entry takes: short requests to the end, with
-// their connections closed, and no stream that could not end in time.
+// TestStop checks that a stopping entry serves short requests to the end, with
+// their connections closed, and refuses streams that could not end in time.
 func TestStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		act := func(_ int, _ call, w io.Writer, _ net.Conn) { say(w, "200 OK", "", "done") }
-		w := newWorld(t, act, route.Route{Kind: route.Once, Timeout: time.Second})
+		act := func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "200 OK", "", "done") }
+		w := newFixture(t, act, route.Route{Kind: route.Once, Timeout: time.Second})
 		w.server.Enter(Closing)
 
 		rec, _ := w.do(t.Context(), "")
@@ -546,16 +548,16 @@
 		rec, _ = w.do(t.Context(), "")
 		assert.Equal(t, rec.Code, http.StatusServiceUnavailable)
 		assert.Equal(t, w.sends(), 1)
-		w.end()
+		w.close()
 	})
 }
 
-// TestWaitingStreamIsRefusedAtTheEnd: a stream waits for a model while its
-// entry stops. It must be told in time to go elsewhere, or it is cut off with
-// the process.
-func TestWaitingStreamIsRefusedAtTheEnd(t *testing.T) {
+// TestQueuedStreamIsRefusedAtShutdown covers a stream that waits for a model
+// while its entry stops. It must be refused in time for its client to use
+// another entry; otherwise it is cut off with the process.
+func TestQueuedStreamIsRefusedAtShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, nil, route.Route{Kind: route.Stream, Timeout: time.Minute})
+		w := newFixture(t, nil, route.Route{Kind: route.Stream, Timeout: time.Minute})
 		w.config.Services["s"] = route.Service{Name: "s", Engine: &route.Engine{}}
 
 		time.AfterFunc(time.Second, func() { w.server.Enter(Ending) })
@@ -566,16 +568,16 @@
 		assert.Equal(t, rec.Code, http.StatusServiceUnavailable)
 		assert.Assert(t, rec.Header().Get("Retry-After") != "")
 		assert.Assert(t, time.Since(began) <= 1100*time.Millisecond)
-		w.end()
+		w.close()
 	})
 }
 
-// TestRejectedStreamIsRefusedAtTheEnd: a stream was rejected and waits for its
-// share of the repeats while its entry stops. It stands in no line then, and
-// would be cut off with the process instead of being told to go elsewhere.
-func TestRejectedStreamIsRefusedAtTheEnd(t *testing.T) {
+// TestRejectedStreamIsRefusedAtShutdown covers a stream that was rejected and
+// waits for the retry budget while its entry stops. It is not queued then, and
+// must be refused all the same rather than cut off with the process.
+func TestRejectedStreamIsRefusedAtShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, func(_ int, _ call, w io.Writer, _ net.Conn) { say(w, "503 Full", "Not-Run: 1\r\n", "") },
+		w := newFixture(t, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "503 Full", "Not-Run: 1\r\n", "") },
 			route.Route{Kind: route.Stream, Timeout: time.Minute, Goal: 10 * time.Second})
 		w.server.Budgets.Allow(Allowance{Burst: 1, Window: time.Hour})
 		time.AfterFunc(time.Second, func() { w.server.Enter(Ending) })
@@ -586,36 +588,37 @@
 		assert.Equal(t, rec.Code, http.StatusServiceUnavailable)
 		assert.Assert(t, rec.Header().Get("Retry-After") != "")
 		assert.Assert(t, time.Since(began) <= 1500*time.Millisecond, "took %s", time.Since(began))
-		w.end()
+		w.close()
 	})
 }
 
-// TestSilentStreamIsKeptWithoutBudget: a target under load is silent for three
-// seconds in the middle of a stream, and no repeat is left. Closing its
-// connection would break off an answer that still comes.
+// TestSilentStreamIsKeptWithoutBudget covers a target under load that sends
+// nothing for three seconds in the middle of a stream, with no retry left.
+// Closing its connection would lose the rest of the answer.
 func TestSilentStreamIsKeptWithoutBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, func(_ int, _ call, w io.Writer, _ net.Conn) {
+		w := newFixture(t, func(_ int, _ call, w io.Writer, _ net.Conn) {
 			stream(w, 1, 2, false)
 			time.Sleep(3 * time.Second)
 
 			_, _ = fmt.Fprintf(w, "%x\r\n%s\r\n0\r\n\r\n", len(event(3)), event(3))
 		}, route.Route{Kind: route.Stream, Resumable: true, Timeout: 9 * time.Second})
 		w.server.Budgets.Allow(Allowance{Burst: 1, Window: time.Hour})
-		assert.Assert(t, w.server.Budgets.Take("s", time.Now()))
+		assert.Assert(t, w.server.Budgets.TryWithdraw("s", time.Now()))
 
 		rec, aborted := w.do(t.Context(), "")
 		assert.Assert(t, !aborted)
 		assert.Equal(t, rec.Body.String(), event(1)+event(2)+event(3))
 		assert.Equal(t, w.sends(), 1)
-		w.end()
+		w.close()
 	})
 }
 
-// TestProper holds the answers to requests that no target sees.
-func TestProper(t *testing.T) {
+// TestRefusedBeforeSending checks the answers to requests that are not sent to
+// any target.
+func TestRefusedBeforeSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, nil, route.Route{Kind: route.Once, Timeout: time.Second})
+		w := newFixture(t, nil, route.Route{Kind: route.Once, Timeout: time.Second})
 
 		rec, _ := w.do(t.Context(), "", "Id", "")
 		assert.Equal(t, rec.Code, http.StatusBadRequest)
@@ -635,14 +638,14 @@
 	})
 }
 
-// TestCrashingRequest: a request crashes each target that runs it, and its
-// caller sends it again and again. After two targets it reaches no more, and
-// whoever shares a target with a lost answer is not blamed.
+// TestCrashingRequest covers a request that crashes each target that runs it
+// and that its client sends again and again. After two targets it must reach no
+// more. A request whose answers are only lost must not be blocked.
 func TestCrashingRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var w *world
+		var w *fixture
 
-		w = newWorld(t, func(_ int, c call, _ io.Writer, conn net.Conn) {
+		w = newFixture(t, func(_ int, c call, _ io.Writer, conn net.Conn) {
 			w.mu.Lock()
 			w.down[c.target] = c.body == "poison"
 			w.mu.Unlock()
@@ -653,10 +656,10 @@
 			rec, _ := w.do(t.Context(), "poison")
 			assert.Assert(t, rec.Code >= 500)
 
-			// The targets are back as new processes.
+			// The targets restart as new processes.
 			synctest.Wait()
 			clear(w.down)
-			w.list(uint64(2 + i))
+			w.listTargets(uint64(2 + i))
 			time.Sleep(time.Second)
 		}
 
@@ -672,6 +675,6 @@
 		}
 
 		assert.Assert(t, w.sends() >= 4, "a request whose answers were lost was blocked")
-		w.end()
+		w.close()
 	})
 }
