--- a/internal/placement/cell/cell.go
+++ b/internal/placement/cell/cell.go
@@ -1,8 +1,9 @@
-// Package cell runs the control of one cell: it watches the cell's lease,
-// takes it when it is free, and while it holds it decides and orders what is
-// loaded. The decisions themselves are in the packages lease, ledger, demand
-// and replica; this package connects them to the table, the engines and the
-// entries.
+// Package cell runs the control of one cell. It watches the cell's lease and
+// acquires it when it is free. While it holds the lease, it decides which
+// models are loaded, orders the loads and unloads, and publishes the replicas
+// to the entries. The decisions themselves are in the packages lease, ledger,
+// demand and replica; this package connects them to the store, the engines and
+// the entries.
 package cell
 
 import (
@@ -33,7 +34,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/record"
 )
 
-// Config is what a cell's control works with.
+// Config configures the control of a cell.
 type Config struct {
 	Cell, Cells int
 	Self        instance.ID
@@ -43,62 +44,65 @@
 	Fleet       *peer.Set
 	// Dial returns the engine behind an instance.
 	Dial func(instance.Instance) target.Engine
-	// ChecksTokens says which engines refuse old fencing tokens.
+	// ChecksTokens reports whether an engine refuses old fencing tokens.
 	ChecksTokens func(instance.ID) bool
-	// Leaving says which targets are known to be leaving by another sign than
-	// the list.
+	// Leaving reports whether a target is known to be leaving from another
+	// source than the instance list.
 	Leaving func(instance.ID) bool
-	// Send hands a snapshot to an entry, this one included. It reports false
-	// when the entry needs the whole.
+	// Send sends a snapshot to an entry, this one included. It returns false if
+	// the entry could not apply the delta and needs a full snapshot.
 	Send func(ctx context.Context, to instance.ID, s *router.Snapshot) (bool, error)
-	// Nudge tells an instance that a lease was released to it.
+	// Nudge notifies an instance that a lease was released to it.
 	Nudge func(to instance.ID, cell int)
 	// Lists returns the lists in force.
 	Lists func() plan.State
-	// Objects keeps the models' histories over changes of the holder. Nil
-	// means that there are none, and idle replicas stay for a fixed time.
+	// Objects stores the models' histories, so that they survive a change of
+	// the holder. Nil means that there are none: idle replicas then stay for a
+	// fixed time.
 	Objects object.Store
 	Log     *timeline.Log
 	Logger  zerolog.Logger
 	Terms   lease.Terms
 	Policy  replica.Terms
-	// Loads is how many loads all cells together may have in flight.
+	// Loads limits the loads that all cells together may have in flight.
 	Loads share.Amount
-	// AskShare asks the holder of the first cell for this cell's part of them.
-	// Nil means that there is one cell, which has all.
+	// AskShare asks the holder of the first cell for this cell's share of them.
+	// Nil means that there is only one cell, which has them all.
 	AskShare func(ctx context.Context, a share.Ask) (share.Amount, error)
-	// BytesPerSecond is the assumed speed of a remote load until some were
-	// measured.
+	// BytesPerSecond is the speed of a remote load that is assumed before the
+	// first loads have completed.
 	BytesPerSecond float64
 }
 
-// Cell is one instance's part in the control of one cell.
+// Cell is the control of one cell on one instance, which may or may not hold
+// the cell's lease.
 type Cell struct {
 	cfg  Config
 	wake chan struct{}
 
-	mu     sync.Mutex
-	watch  lease.Watch
-	held   lease.Held
-	tenure *tenure
-	// bestSince is since when another instance ranks first for the cell.
-	bestSince time.Time
-	best      instance.ID
-	draining  bool
-
-	// inHand counts the orders that were decided and not yet answered, over
-	// all tenures of this process.
-	inHand atomic.Int64
-	// tableDown says that the last renewal got no answer.
-	tableDown atomic.Bool
-	// Counts for the measurements.
+	mu    sync.Mutex
+	watch lease.Watch
+	held  lease.Held
+	term  *leaseTerm
+	// preferredSince is since when preferred, another instance, has ranked first
+	// for the cell.
+	preferredSince time.Time
+	preferred      instance.ID
+	draining       bool
+
+	// inFlight counts the orders that were sent and not yet answered, over all
+	// lease terms of this process.
+	inFlight atomic.Int64
+	// storeDown says that the last renewal got no answer from the store.
+	storeDown atomic.Bool
+	// Takeovers counts how often this process has acquired the lease.
 	Takeovers atomic.Int64
 }
 
 // NotHolderError says that this instance does not hold the cell's lease.
 type NotHolderError struct {
 	Cell int
-	// Hint is who held it when this instance last looked.
+	// Hint is the holder that this instance last read from the lease row.
 	Hint instance.ID
 }
 
@@ -115,23 +119,24 @@
 	return &Cell{cfg: cfg, wake: make(chan struct{}, 1)}
 }
 
-// Name returns the key by which instances are ranked for a cell.
+// Name returns the rendezvous-hashing key that ranks the instances for a cell.
 func Name(cell int) string { return fmt.Sprintf("cell/%d", cell) }
 
-// Of returns the cell of a target or a model.
+// Of returns the cell that a target or a model belongs to, by rendezvous
+// hashing over the given number of cells.
 func Of(name string, cells int) int {
-	best, most := 0, uint64(0)
+	best, highest := 0, uint64(0)
 
 	for c := range cells {
-		if s := instance.Score(name, instance.ID(Name(c))); s > most {
-			best, most = c, s
+		if s := instance.Score(name, instance.ID(Name(c))); s > highest {
+			best, highest = c, s
 		}
 	}
 
 	return best
 }
 
-// watchers is how many instances look at a lease that another one holds.
+// watchers is how many instances poll a lease that another instance holds.
 const watchers = 3
 
 // Run watches or holds the lease until ctx ends.
@@ -149,10 +154,10 @@
 		t.Stop()
 	}
 
-	c.endTenure()
+	c.endTerm()
 }
 
-// Wake makes Run look at the lease at once.
+// Wake makes Run check the lease at once.
 func (c *Cell) Wake() {
 	select {
 	case c.wake <- struct{}{}:
@@ -160,7 +165,8 @@
 	}
 }
 
-// step does what is due and returns how long nothing is.
+// step renews or checks the lease if that is due, and returns the pause until
+// the next step.
 func (c *Cell) step(ctx context.Context) time.Duration {
 	c.mu.Lock()
 	held, draining := c.held, c.draining
@@ -175,7 +181,7 @@
 		return c.cfg.Terms.Poll
 	}
 
-	c.look(ctx, rank)
+	c.checkLease(ctx, rank)
 
 	return c.cfg.Terms.Poll
 }
@@ -186,8 +192,9 @@
 	return slices.Index(ranked, c.cfg.Self)
 }
 
-// look reads the lease of another instance and takes it if it is free.
-func (c *Cell) look(ctx context.Context, rank int) {
+// checkLease reads the lease that another instance holds and acquires it if it
+// is free.
+func (c *Cell) checkLease(ctx context.Context, rank int) {
 	rows, err := c.cfg.Table.Read(ctx, record.LeaseKey(c.cfg.Cell), record.FenceKey(c.cfg.Cell))
 	if err != nil {
 		return
@@ -195,7 +202,7 @@
 
 	current, err := c.row().Decode(rows[0])
 	if err != nil {
-		c.cfg.Logger.Error().Err(err).Int("cell", c.cfg.Cell).Msg("lease row cannot be read")
+		c.cfg.Logger.Error().Err(err).Int("cell", c.cfg.Cell).Msg("cannot decode lease row")
 
 		return
 	}
@@ -208,18 +215,18 @@
 	c.mu.Unlock()
 
 	if free {
-		c.take(ctx, current, rows[0].Version, rows[1].Version)
+		c.acquire(ctx, current, rows[0].Version, rows[1].Version)
 	}
 }
 
-// row is the row of this cell's lease.
+// row returns the row of this cell's lease.
 func (c *Cell) row() leaserow.Row {
 	return leaserow.Row{Table: c.cfg.Table, Cell: c.cfg.Cell, Process: c.cfg.Process}
 }
 
-// take writes the lease and the fence in one transaction. From then on no
-// ledger write of a former holder can succeed.
-func (c *Cell) take(ctx context.Context, old lease.Record, leaseVersion, fenceVersion uint64) {
+// acquire writes the lease and the fence in one transaction. Once it has taken
+// effect, ledger writes of former holders fail.
+func (c *Cell) acquire(ctx context.Context, old lease.Record, leaseVersion, fenceVersion uint64) {
 	next := lease.Record{
 		Cell:    c.cfg.Cell,
 		Holder:  c.cfg.Self,
@@ -254,17 +261,18 @@
 
 	c.mu.Lock()
 	c.held = held
-	c.best = "" // How long another ranked first in an earlier tenure does not count.
-	c.tenure = newTenure(c, held)
-	t := c.tenure
+	c.preferred = "" // The time for which another ranked first counts anew in each term.
+	c.term = newLeaseTerm(c, held)
+	t := c.term
 	c.mu.Unlock()
 
 	t.start()
 }
 
-// renew writes the lease again and returns when the next renewal is due.
+// renew renews the lease if that is due and returns the pause until the next
+// attempt.
 func (c *Cell) renew(ctx context.Context, held lease.Held) time.Duration {
-	if c.handBack() {
+	if c.shouldHandOver() {
 		c.Release(ctx)
 
 		return 0
@@ -279,27 +287,27 @@
 	next.WriteID = uuid.NewString()
 	sent := time.Now()
 
-	tryCtx, cancel := context.WithTimeout(ctx, c.cfg.Terms.Renew)
+	renewCtx, cancel := context.WithTimeout(ctx, c.cfg.Terms.Renew)
 	defer cancel()
 
-	version, err := c.row().Write(tryCtx, next, held.Version)
+	version, err := c.row().Write(renewCtx, next, held.Version)
 
 	switch {
 	case err == nil:
 		c.renewed(next, version, sent)
-		c.noteTable(false)
+		c.noteStore(false)
 	case table.IsConflict(err):
 		c.conflict(ctx, held)
 	default:
-		c.noteTable(true)
+		c.noteStore(true)
 	}
 
-	return c.cfg.Terms.Poll / 2 //nolint:mnd // Two tries in the time of a look.
+	return c.cfg.Terms.Poll / 2 //nolint:mnd // Two attempts in a poll interval.
 }
 
-// noteTable records when the table service goes away and comes back.
-func (c *Cell) noteTable(down bool) {
-	if c.tableDown.Swap(down) == down {
+// noteStore records when the store becomes unavailable and available again.
+func (c *Cell) noteStore(down bool) {
+	if c.storeDown.Swap(down) == down {
 		return
 	}
 
@@ -309,7 +317,7 @@
 	}
 
 	c.cfg.Log.Add(timeline.Event{Kind: kind, Detail: fmt.Sprintf("cell %d", c.cfg.Cell)})
-	c.cfg.Logger.Warn().Bool("down", down).Int("cell", c.cfg.Cell).Msg("table service")
+	c.cfg.Logger.Warn().Bool("down", down).Int("cell", c.cfg.Cell).Msg("store availability changed")
 }
 
 func (c *Cell) renewed(next lease.Record, version uint64, sent time.Time) {
@@ -321,10 +329,11 @@
 	}
 
 	c.held.Record, c.held.Version, c.held.Sent = next, version, sent
-	c.tenure.setHeld(c.held)
+	c.term.setHeld(c.held)
 }
 
-// conflict finds out whether the lease was lost.
+// conflict handles a renewal that conflicted: it reads the row, and either
+// continues with its version or ends the term.
 func (c *Cell) conflict(ctx context.Context, held lease.Held) {
 	version, own, err := c.row().Own(ctx, held.Token)
 
@@ -335,12 +344,12 @@
 		c.held.Version = version
 		c.mu.Unlock()
 	default:
-		c.lost(held.Token)
+		c.loseLease(held.Token)
 	}
 }
 
-// lost ends the tenure, because another instance holds the lease.
-func (c *Cell) lost(token uint64) {
+// loseLease ends the term because another instance holds the lease.
+func (c *Cell) loseLease(token uint64) {
 	c.mu.Lock()
 	if c.held.Token != token {
 		c.mu.Unlock()
@@ -350,8 +359,8 @@
 
 	c.held = lease.Held{}
 	c.watch = lease.Watch{}
-	t := c.tenure
-	c.tenure = nil
+	t := c.term
+	c.term = nil
 	c.mu.Unlock()
 
 	t.stop()
@@ -359,10 +368,10 @@
 	c.cfg.Logger.Warn().Int("cell", c.cfg.Cell).Uint64("token", token).Msg("lease lost")
 }
 
-func (c *Cell) endTenure() {
+func (c *Cell) endTerm() {
 	c.mu.Lock()
-	t := c.tenure
-	c.tenure = nil
+	t := c.term
+	c.term = nil
 	c.held = lease.Held{}
 	c.mu.Unlock()
 
@@ -371,10 +380,11 @@
 	}
 }
 
-// Report takes in what an entry asks of the cell.
+// Report records the demand that an entry reports to the cell. It returns a
+// NotHolderError if this instance does not hold the lease.
 func (c *Cell) Report(r demand.Report) error {
 	c.mu.Lock()
-	t, hint := c.tenure, c.watch.Record().Holder
+	t, hint := c.term, c.watch.Record().Holder
 	c.mu.Unlock()
 
 	if t == nil {
@@ -386,11 +396,12 @@
 	return nil
 }
 
-// GrantShare divides the loads between the cells. Only the holder of the first
-// cell is asked; anybody else grants nothing.
+// GrantShare grants a cell its share of the loads that all cells together may
+// have in flight. Only the holder of the first cell is asked; an instance that
+// does not hold its cell grants nothing.
 func (c *Cell) GrantShare(a share.Ask) share.Amount {
 	c.mu.Lock()
-	t := c.tenure
+	t := c.term
 	c.mu.Unlock()
 
 	if t == nil {
@@ -403,7 +414,8 @@
 	return t.granter.Grant(a, time.Now())
 }
 
-// Lease returns the lease that this instance believes to hold.
+// Lease returns the lease that this instance holds as far as it has read. The
+// lease may have expired meanwhile.
 func (c *Cell) Lease() (peer.Lease, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -411,9 +423,9 @@
 	return peer.Lease{Cell: c.cfg.Cell, Token: c.held.Token}, c.held.Token != 0
 }
 
-// OrdersInHand reports whether an order of this process may still reach an
-// engine of the cell.
-func (c *Cell) OrdersInHand() bool { return c.inHand.Load() > 0 }
+// OrdersInHand reports whether orders of this process to engines of the cell
+// are in flight.
+func (c *Cell) OrdersInHand() bool { return c.inFlight.Load() > 0 }
 
 // Number returns the cell's number.
 func (c *Cell) Number() int { return c.cfg.Cell }
--- a/internal/placement/cell/engines.go
+++ b/internal/placement/cell/engines.go
@@ -15,41 +15,43 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/record"
 )
 
-// engineState is what the holder knows of one target.
+// engineState is the holder's state of one engine.
 type engineState struct {
 	instance.Instance
 
 	engine target.Engine
-	// inventory is the engine's last, and fresh says that there is one and
-	// that no order was answered after it.
+	// inventory is the engine's latest inventory. fresh says that it is current:
+	// it has arrived and no order was answered after it.
 	inventory target.Inventory
 	fresh     bool
-	// inventoryAt is when the inventory came.
+	// inventoryAt is when the inventory arrived.
 	inventoryAt time.Time
 	report      target.Report
 	reportAt    time.Time
 	// usable says that loads may be ordered.
 	usable bool
-	// heardAt is when the engine last answered.
-	heardAt time.Time
-	// orders counts the orders in flight; epoch counts those answered. An
-	// inventory that was asked for in an earlier epoch is out of date.
+	// answeredAt is when the engine last answered.
+	answeredAt time.Time
+	// orders counts the orders in flight; epoch counts the orders answered. An
+	// inventory that was requested in an earlier epoch is out of date.
 	orders int
 	epoch  uint64
 	loads  []time.Time
 	stop   chan struct{}
-	// kick makes the next look at the engine come at once.
-	kick chan struct{}
+	// trigger makes the next poll come at once.
+	trigger chan struct{}
 }
 
-func (e *engineState) poke() {
+// pollSoon makes the next poll of the engine come at once.
+func (e *engineState) pollSoon() {
 	select {
-	case e.kick <- struct{}{}:
+	case e.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// The times between two looks at an engine.
+// The intervals at which an engine is polled, and the time without an answer
+// after which it counts as down.
 const (
 	pollEvery       = 500 * time.Millisecond
 	pollWhenLoading = 10 * time.Millisecond
@@ -62,14 +64,15 @@
 	return errors.As(err, &noMemory)
 }
 
+// noteLoad records a load, and forgets those of more than an hour ago.
 func (e *engineState) noteLoad(now time.Time) {
 	e.loads = append(e.loads, now)
 	e.loads = slices.DeleteFunc(e.loads, func(at time.Time) bool { return now.Sub(at) > time.Hour })
 }
 
-// syncTargets starts to watch the targets that are new on the list and
-// forgets those that are gone.
-func (t *tenure) syncTargets(now time.Time) {
+// syncTargets starts to poll the cell's targets that are new on the instance
+// list and removes those that are gone.
+func (t *leaseTerm) syncTargets(now time.Time) {
 	for _, in := range t.cfg.Fleet.Listed(instance.Engine) {
 		if Of(string(in.ID), t.cfg.Cells) != t.cfg.Cell {
 			continue
@@ -77,7 +80,7 @@
 
 		e := t.targets[in.ID]
 		if e == nil {
-			e = &engineState{Instance: in, engine: t.cfg.Dial(in), heardAt: now, stop: make(chan struct{}), kick: make(chan struct{}, 1)}
+			e = &engineState{Instance: in, engine: t.cfg.Dial(in), answeredAt: now, stop: make(chan struct{}), trigger: make(chan struct{}, 1)}
 			t.targets[in.ID] = e
 			t.wg.Go(func() { t.poll(e) })
 		}
@@ -92,25 +95,25 @@
 			close(e.stop)
 			delete(t.targets, id)
 
-			t.urgent = true
+			t.publishNow = true
 		}
 	}
 }
 
-func (t *tenure) markLeaving(e *engineState) {
+func (t *leaseTerm) markLeaving(e *engineState) {
 	if e.State == instance.Leaving {
 		return
 	}
 
 	e.State = instance.Leaving
 	e.usable = false
-	t.urgent = true
+	t.publishNow = true
 	t.cfg.Log.Add(timeline.Event{Kind: timeline.TargetLeaving, Target: e.ID})
 }
 
-// poll asks one engine for its inventory and its load at intervals, more
-// often while it loads.
-func (t *tenure) poll(e *engineState) {
+// poll asks one engine for its inventory and its report at intervals, more
+// often while it loads a model.
+func (t *leaseTerm) poll(e *engineState) {
 	var reported time.Time
 
 	for {
@@ -131,7 +134,7 @@
 		select {
 		case <-t.ctx.Done():
 		case <-e.stop:
-		case <-e.kick:
+		case <-e.trigger:
 		case <-timer.C:
 		}
 
@@ -152,21 +155,22 @@
 	}
 }
 
-// pollInventory reports whether the engine is loading something.
-func (t *tenure) pollInventory(e *engineState) bool {
+// pollInventory reads and applies the engine's inventory, raises its token if
+// that is old, and reports whether the engine is loading a model.
+func (t *leaseTerm) pollInventory(e *engineState) bool {
 	t.mu.Lock()
 	epoch, token := e.epoch, t.held.Token
 	t.mu.Unlock()
 
 	inv, err := e.engine.Inventory(t.ctx)
 	if err == nil && t.cfg.ChecksTokens(e.ID) && inv.Token < token {
-		// From the answer on the engine refuses all orders of former holders.
+		// Once it has answered, the engine refuses all orders of former holders.
 		id := detail("raise/%d/%s", token, inv.Incarnation)
 		inv, err = e.engine.Submit(t.ctx, target.Order{ID: id, Token: token, Action: target.RaiseToken{}})
 	}
 
 	if isStale(err) {
-		t.lostLease(err)
+		t.foundSuccessor(err)
 
 		return false
 	}
@@ -176,35 +180,36 @@
 
 	now := time.Now()
 	if err != nil {
-		t.silent(e, now)
+		t.noteNoAnswer(e, now)
 
 		return false
 	}
 
-	e.heardAt = now
+	e.answeredAt = now
 
 	if epoch == e.epoch && e.orders == 0 {
 		t.reconcile(e.ID, e, inv, now)
 	}
 
-	return slices.ContainsFunc(t.book.Target(e.ID), func(r *ledger.Row) bool {
+	return slices.ContainsFunc(t.ledger.Target(e.ID), func(r *ledger.Row) bool {
 		return r.State.Phase == target.Loading
 	})
 }
 
-// silent notes that the engine did not answer.
-func (t *tenure) silent(e *engineState, now time.Time) {
+// noteNoAnswer records that the engine did not answer, and makes it unusable
+// once it has not answered for downAfter.
+func (t *leaseTerm) noteNoAnswer(e *engineState, now time.Time) {
 	e.fresh = false
 
-	if e.usable && now.Sub(e.heardAt) > downAfter {
+	if e.usable && now.Sub(e.answeredAt) > downAfter {
 		e.usable = false
-		t.urgent = true
+		t.publishNow = true
 		t.cfg.Log.Add(timeline.Event{Kind: timeline.TargetDied, Target: e.ID, Detail: "does not answer"})
-		t.poke()
+		t.requestRound()
 	}
 }
 
-func (t *tenure) pollReport(e *engineState) {
+func (t *leaseTerm) pollReport(e *engineState) {
 	report, err := e.engine.Report(t.ctx)
 	if err != nil {
 		return
@@ -220,63 +225,64 @@
 	}
 }
 
-// reconcile compares the ledger with what the engine holds.
-func (t *tenure) reconcile(id instance.ID, e *engineState, inv target.Inventory, now time.Time) {
+// reconcile applies an engine's inventory to its state and to the ledger.
+func (t *leaseTerm) reconcile(id instance.ID, e *engineState, inv target.Inventory, now time.Time) {
 	if inv.Leaving {
 		t.markLeaving(e)
 	}
 
 	if e.inventory.Incarnation != "" && e.inventory.Incarnation != inv.Incarnation {
-		t.cfg.Log.Add(timeline.Event{Kind: timeline.TargetDied, Target: id, Detail: "came back empty"})
+		t.cfg.Log.Add(timeline.Event{Kind: timeline.TargetDied, Target: id, Detail: "restarted"})
 	}
 
 	e.inventory, e.fresh, e.inventoryAt = inv, true, now
 	wasUsable := e.usable
-	e.usable = e.State != instance.Leaving && t.ready &&
+	e.usable = e.State != instance.Leaving && t.ledgerRead &&
 		(!t.cfg.ChecksTokens(id) || inv.Token >= t.held.Token)
 
 	if e.usable != wasUsable {
-		t.urgent = true
-		t.poke()
+		t.publishNow = true
+		t.requestRound()
 	}
 
-	if !t.ready {
+	if !t.ledgerRead {
 		e.fresh = false
 
 		return
 	}
 
-	for _, r := range slices.Clone(t.book.Target(id)) {
-		t.compare(r, inv, now)
+	for _, r := range slices.Clone(t.ledger.Target(id)) {
+		t.reconcileRow(r, inv, now)
 	}
 
 	for _, h := range inv.Held {
-		if t.book.Row(ledger.Key{Target: id, Model: h.Model}) == nil {
-			t.adoptReplica(id, h, now)
+		if t.ledger.Row(ledger.Key{Target: id, Model: h.Model}) == nil {
+			t.adoptUncounted(id, h, now)
 		}
 	}
 }
 
-// compare brings a row's state in line with the engine's inventory.
-func (t *tenure) compare(r *ledger.Row, inv target.Inventory, now time.Time) {
+// reconcileRow updates a row's state from the engine's inventory.
+func (t *leaseTerm) reconcileRow(r *ledger.Row, inv target.Inventory, now time.Time) {
 	at := slices.IndexFunc(inv.Held, func(h target.Held) bool { return h.Model == r.Model })
 
 	switch {
 	case at >= 0:
-		t.follow(r, inv.Held[at].Phase, now)
-	case r.State.Acked && r.State.Phase != target.Unloading:
-		// The replica was there and is gone: the engine was restarted, or
-		// somebody else unloaded it. The row is removed once that is proved;
-		// a new load is decided like any other.
+		t.applyPhase(r, inv.Held[at].Phase, now)
+	case r.State.Acknowledged && r.State.Phase != target.Unloading:
+		// The replica has disappeared: the engine was restarted, or the
+		// replica was unloaded without an order of this holder. The row is
+		// removed once that is proved; a new load is decided like any other.
 		r.State.Phase = target.Unloading
 		r.State.Since = now
 		r.State.Retiring = true
-		t.urgent = true
+		t.publishNow = true
 	}
 }
 
-// follow moves the row's phase after the engine's.
-func (t *tenure) follow(r *ledger.Row, p target.Phase, now time.Time) {
+// applyPhase sets the row's phase to the engine's. A row that is being unloaded
+// keeps its phase.
+func (t *leaseTerm) applyPhase(r *ledger.Row, p target.Phase, now time.Time) {
 	if r.State.Phase == p || r.State.Phase == target.Unloading {
 		return
 	}
@@ -284,13 +290,13 @@
 	switch p {
 	case target.Ready:
 		if r.State.Phase == target.Loading && r.State.Own && r.Base == "" {
-			t.loadTime.learn(r.Bytes, now.Sub(r.State.Since))
+			t.loadSpeed.add(r.Bytes, now.Sub(r.State.Since))
 		}
 
-		delete(t.failures, r.Model)
+		delete(t.loadFailures, r.Model)
 		t.event(timeline.LoadConfirmed, r.Key, now.Sub(r.State.Since).Round(time.Millisecond).String())
 	case target.Failed:
-		t.fail(r, now)
+		t.recordLoadFailure(r, now)
 
 		return
 	case target.Loading, target.Unloading:
@@ -298,24 +304,27 @@
 
 	r.State.Phase = p
 	r.State.Since = now
-	t.urgent = true
-	t.poke()
+	t.publishNow = true
+	t.requestRound()
 }
 
-func (t *tenure) fail(r *ledger.Row, now time.Time) {
-	t.failures[r.Model]++
-	r.State.Failures = t.failures[r.Model]
+// recordLoadFailure marks the row as failed and counts the failure for its
+// model.
+func (t *leaseTerm) recordLoadFailure(r *ledger.Row, now time.Time) {
+	t.loadFailures[r.Model]++
+	r.State.Failures = t.loadFailures[r.Model]
 	r.State.Phase = target.Failed
 	r.State.Since = now
-	t.urgent = true
+	t.publishNow = true
 	t.event(timeline.LoadFailed, r.Key, detail("%d in a row", r.State.Failures))
-	t.poke()
+	t.requestRound()
 }
 
-// adoptReplica counts a replica that the engine holds without a row. It is
-// counted at once, written to the ledger, and then unloaded.
-func (t *tenure) adoptReplica(id instance.ID, h target.Held, now time.Time) {
-	row := t.book.Adopt(ledger.Row{
+// adoptUncounted adds a row for a replica that is resident on the engine but not
+// in the ledger. It counts at once, is written to the store, and the replica is
+// then unloaded.
+func (t *leaseTerm) adoptUncounted(id instance.ID, h target.Held, now time.Time) {
+	row := t.ledger.Adopt(ledger.Row{
 		Key:     ledger.Key{Target: id, Model: h.Model},
 		Base:    h.Base,
 		Bytes:   h.Bytes,
@@ -324,11 +333,11 @@
 		Process: t.cfg.Process,
 		WriteID: newID(),
 		State: ledger.State{
-			Phase: h.Phase, Own: true, Acked: true, Incarnation: t.targets[id].inventory.Incarnation,
+			Phase: h.Phase, Own: true, Acknowledged: true, Incarnation: t.targets[id].inventory.Incarnation,
 			Retiring: true, Since: now, LastUsed: now,
 		},
 	})
-	t.cfg.Logger.Warn().Str("target", string(id)).Str("model", h.Model).Msg("replica without a ledger row adopted")
+	t.cfg.Logger.Warn().Str("target", string(id)).Str("model", h.Model).Msg("adopted a replica that had no ledger row")
 
 	key, value, fence := record.LedgerKey(t.cfg.Cell, row.Key), record.EncodeLedger(row), t.held.Fence
 	t.background(row, func(ctx context.Context) {
@@ -337,7 +346,7 @@
 			Writes:     []table.Write{{Key: key, Value: value}},
 		})
 		if table.IsConflict(err) {
-			t.lostLease(err)
+			t.foundSuccessor(err)
 		}
 
 		if err != nil {
@@ -350,8 +359,8 @@
 	})
 }
 
-// targetViews returns the targets as the decision sees them, sorted by id.
-func (t *tenure) targetViews(now time.Time) []replica.Target {
+// targetSnapshots returns the targets as input of a decision, sorted by id.
+func (t *leaseTerm) targetSnapshots(now time.Time) []replica.Target {
 	out := make([]replica.Target, 0, len(t.targets))
 
 	for id, e := range t.targets {
@@ -364,7 +373,7 @@
 			Speed:         e.inventory.Speed,
 			Slots:         slots,
 			Usable:        e.usable,
-			Lost:          e.State == instance.Leaving || now.Sub(e.heardAt) > downAfter,
+			Lost:          e.State == instance.Leaving || now.Sub(e.answeredAt) > downAfter,
 			Cached:        e.inventory.Cached,
 			LoadsLastHour: len(e.loads),
 		})
--- a/internal/placement/cell/failure_test.go
+++ b/internal/placement/cell/failure_test.go
@@ -44,7 +44,7 @@
 			}
 		})
 
-		took, ok := w.askUntil(modelName(0), 20*time.Second)
+		took, ok := w.reportUntilReady(modelName(0), 20*time.Second)
 		assert.Assert(t, ok, w.state())
 		assert.Assert(t, took < takeOverBound+5*time.Second, "took %s", took)
 		assert.Equal(t, w.loaded(modelName(0)), 1)
@@ -53,11 +53,11 @@
 		// The engine loads, but whoever ordered it has died. The successor
 		// must find the replica, and not load another.
 		w.weights.Slow(10)
-		w.ask(modelName(0))
+		w.reportWaiting(modelName(0))
 		time.Sleep(100 * time.Millisecond)
 		w.kill(w.holder())
 
-		_, ok := w.askUntil(modelName(0), 30*time.Second)
+		_, ok := w.reportUntilReady(modelName(0), 30*time.Second)
 		assert.Assert(t, ok, w.state())
 		assert.Equal(t, w.loaded(modelName(0)), 1)
 	}},
@@ -77,14 +77,14 @@
 		})
 
 		before := w.token()
-		w.ask(modelName(0))
+		w.reportWaiting(modelName(0))
 		time.Sleep(50 * time.Millisecond)
 
 		took, ok := w.awaitHolder(before, 20*time.Second)
 		assert.Assert(t, ok && took < takeOverBound, "take-over took %s", took)
 
 		for i := range 4 {
-			w.askUntil(modelName(i), 15*time.Second)
+			w.reportUntilReady(modelName(i), 15*time.Second)
 		}
 
 		time.Sleep(40 * time.Second)
@@ -94,7 +94,7 @@
 		// neither order without knowing nor take the row for somebody else's.
 		w.platform.SetFaults(platform.Faults{LoseAnswers: 3})
 
-		took, ok := w.askUntil(modelName(0), 10*time.Second)
+		took, ok := w.reportUntilReady(modelName(0), 10*time.Second)
 		assert.Assert(t, ok, w.state())
 		assert.Assert(t, took < 3*time.Second, "took %s", took)
 		assert.Equal(t, w.holder().Takeovers.Load(), int64(1), "the holder must not lose its lease over it")
@@ -110,7 +110,7 @@
 		took, ok := w.awaitHolder(1, 20*time.Second)
 		assert.Assert(t, ok && took < takeOverBound, "take-over took %s", took)
 
-		_, ok = w.askUntil(modelName(0), 10*time.Second)
+		_, ok = w.reportUntilReady(modelName(0), 10*time.Second)
 		assert.Assert(t, ok, w.state())
 	}},
 	{"two successors race", func(t *testing.T, w *world) {
@@ -119,11 +119,11 @@
 		// expire. One must win, and the other must not order anything.
 		first := w.holder()
 		w.kill(first)
-		w.deafen(10 * time.Second)
+		w.loseHeartbeats(10 * time.Second)
 
 		_, ok := w.awaitHolder(1, 10*time.Second)
 		assert.Assert(t, ok)
-		w.ask(modelName(0))
+		w.reportWaiting(modelName(0))
 		time.Sleep(5 * time.Second)
 
 		holders := 0
@@ -141,7 +141,7 @@
 		// waiting caller must get the model, and the row of the lost load
 		// must not hold memory for ever.
 		w.weights.Slow(10)
-		w.ask(modelName(0))
+		w.reportWaiting(modelName(0))
 		time.Sleep(200 * time.Millisecond)
 
 		for _, e := range w.engines {
@@ -150,7 +150,7 @@
 
 		w.weights.Slow(1)
 
-		_, ok := w.askUntil(modelName(0), 40*time.Second)
+		_, ok := w.reportUntilReady(modelName(0), 40*time.Second)
 		assert.Assert(t, ok, w.state())
 	}},
 	{"order answered twice and late", func(t *testing.T, w *world) {
@@ -160,7 +160,7 @@
 			e.SetFaults(engine.Faults{LateOrders: 3 * time.Second})
 		}
 
-		_, ok := w.askUntil(modelName(0), 30*time.Second)
+		_, ok := w.reportUntilReady(modelName(0), 30*time.Second)
 		assert.Assert(t, ok, w.state())
 		time.Sleep(10 * time.Second)
 		assert.Assert(t, w.loaded(modelName(0)) <= 1)
@@ -172,7 +172,7 @@
 		w.jitter.Store(int64(400 * time.Millisecond))
 
 		for round := range 6 {
-			w.ask(modelName(round%modelsAsked), modelName((round+1)%modelsAsked))
+			w.reportWaiting(modelName(round%modelCount), modelName((round+1)%modelCount))
 			time.Sleep(2 * time.Second)
 		}
 	}},
@@ -181,7 +181,7 @@
 		// later it is gone. The model must be loaded on another target at
 		// once, while the row of the lost load is still counted.
 		w.weights.Slow(10)
-		w.ask(modelName(0))
+		w.reportWaiting(modelName(0))
 		time.Sleep(200 * time.Millisecond)
 
 		loading := w.loadingOn(modelName(0))
@@ -196,7 +196,7 @@
 
 		time.Sleep(time.Second)
 
-		_, ok := w.askUntil(modelName(0), 10*time.Second)
+		_, ok := w.reportUntilReady(modelName(0), 10*time.Second)
 		assert.Assert(t, ok, w.state())
 	}},
 	{"weight store slowed tenfold", func(t *testing.T, w *world) {
@@ -205,7 +205,7 @@
 		w.weights.Slow(10)
 
 		for range 20 {
-			w.ask(modelName(0), modelName(1), modelName(2), modelName(3), modelName(4), modelName(5))
+			w.reportWaiting(modelName(0), modelName(1), modelName(2), modelName(3), modelName(4), modelName(5))
 			time.Sleep(500 * time.Millisecond)
 		}
 
@@ -218,7 +218,7 @@
 		for _, f := range failures {
 			t.Run(fmt.Sprintf("tokens checked %v/%s", checks, f.name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := newWorld(t, 3, modelsAsked, checks)
+					w := newWorld(t, 3, modelCount, checks)
 					for i := range 3 {
 						w.start(instance.ID(fmt.Sprintf("entry-%d", i)))
 					}
@@ -230,7 +230,7 @@
 					time.Sleep(2 * time.Second)
 
 					f.run(t, w)
-					w.assertKept(f.name)
+					w.assertNoViolations(f.name)
 				})
 			})
 		}
@@ -267,10 +267,10 @@
 	return nil
 }
 
-// deafen makes the processes hear nothing of each other for a while.
-func (w *world) deafen(d time.Duration) {
-	w.deaf.Store(true)
-	time.AfterFunc(d, func() { w.deaf.Store(false) })
+// loseHeartbeats makes the processes hear nothing of each other for a while.
+func (w *world) loseHeartbeats(d time.Duration) {
+	w.heartbeatsLost.Store(true)
+	time.AfterFunc(d, func() { w.heartbeatsLost.Store(false) })
 }
 
 // TestLapsedHolder is the story of a holder that the table service has left
@@ -279,12 +279,12 @@
 // must learn why, rather than wait until their time is up.
 func TestLapsedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 2, modelsAsked, false)
+		w := newWorld(t, 2, modelCount, false)
 		p := w.start("entry-0")
 
 		defer w.stopAll()
 
-		_, ok := w.askUntil(modelName(0), 10*time.Second)
+		_, ok := w.reportUntilReady(modelName(0), 10*time.Second)
 		assert.Assert(t, ok)
 
 		w.platform.SetFaults(platform.Faults{TableDown: true})
@@ -292,7 +292,7 @@
 
 		lapsed := time.Now()
 
-		w.ask(modelName(1))
+		w.reportWaiting(modelName(1))
 		time.Sleep(500 * time.Millisecond)
 
 		wait, ok := p.table.Wait(modelName(1))
@@ -307,9 +307,9 @@
 		time.Sleep(time.Hour)
 		w.platform.SetFaults(platform.Faults{})
 
-		_, ok = w.askUntil(modelName(1), 10*time.Second)
+		_, ok = w.reportUntilReady(modelName(1), 10*time.Second)
 		assert.Assert(t, ok, w.state())
-		w.assertKept("after an hour without the table")
+		w.assertNoViolations("after an hour without the table")
 	})
 }
 
@@ -318,7 +318,7 @@
 // has run out.
 func TestPlannedHandOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 2, modelsAsked, true)
+		w := newWorld(t, 2, modelCount, true)
 		for i := range 3 {
 			w.start(instance.ID(fmt.Sprintf("entry-%d", i)))
 		}
@@ -343,7 +343,7 @@
 // for the same cold model. One load must serve them all.
 func TestBurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3, modelsAsked, true)
+		w := newWorld(t, 3, modelCount, true)
 		p := w.start("entry-0")
 
 		defer w.stopAll()
@@ -374,14 +374,14 @@
 // taken it out of its routing and none has a request running there.
 func TestQuietBeforeUnload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1, modelsAsked, true)
+		w := newWorld(t, 1, modelCount, true)
 		p := w.start("entry-0")
 
 		defer w.stopAll()
 
 		time.Sleep(3 * time.Second)
 
-		_, ok := w.askUntil(modelName(0), 10*time.Second)
+		_, ok := w.reportUntilReady(modelName(0), 10*time.Second)
 		assert.Assert(t, ok)
 
 		use := demand.Use{Key: ledger.Key{Target: "engine-0", Model: modelName(0)}, Running: 1}
@@ -405,7 +405,7 @@
 		}
 
 		assert.Equal(t, w.loaded(modelName(0)), 0, "an idle replica must go")
-		w.assertKept("quiet before unload")
+		w.assertNoViolations("quiet before unload")
 	})
 }
 
@@ -470,14 +470,14 @@
 // out both. Not one more order may go out.
 func TestNoOrderAfterLapse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1, modelsAsked, false)
+		w := newWorld(t, 1, modelCount, false)
 		p := w.start("entry-0")
 
 		defer w.stopAll()
 
 		time.Sleep(3 * time.Second)
 		w.engines[0].SetFaults(engine.Faults{LateOrders: 3 * time.Minute})
-		w.ask(modelName(0))
+		w.reportWaiting(modelName(0))
 		time.Sleep(time.Second)
 		w.platform.SetFaults(platform.Faults{TableDown: true})
 
--- a/internal/placement/cell/gate_test.go
+++ b/internal/placement/cell/gate_test.go
@@ -82,17 +82,17 @@
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 
-	e.w.travel(o.ID + "there")
+	e.w.delay(o.ID + "there")
 
 	inv, err := e.Engine.Submit(ctx, o)
 
-	e.w.travel(o.ID + "back")
+	e.w.delay(o.ID + "back")
 
 	return inv, err
 }
 
-// travel takes the time of a message on its way, which its name determines.
-func (w *world) travel(name string) {
+// delay takes the time of a message on its way, which its name determines.
+func (w *world) delay(name string) {
 	if jitter := w.jitter.Load(); jitter > 0 {
 		time.Sleep(time.Duration(xxhash.Sum64String(name) % uint64(jitter)))
 	}
@@ -121,7 +121,7 @@
 
 	inv, err := e.Engine.Inventory(ctx)
 
-	e.w.travel(time.Now().String() + string(e.p.id))
+	e.w.delay(time.Now().String() + string(e.p.id))
 
 	return inv, err
 }
--- a/internal/placement/cell/handover.go
+++ b/internal/placement/cell/handover.go
@@ -12,13 +12,14 @@
 	"github.com/fulmarcross/fulmarcross/internal/room/timeline"
 )
 
-// rebalanceAfter is how long another instance must rank first before the
-// lease is handed to it. It keeps a lease from following an instance that
-// comes and goes.
+// rebalanceAfter is how long another instance must rank first before the lease
+// is handed over to it. The delay keeps the lease from moving back and forth
+// with an instance that is up only for short times.
 const rebalanceAfter = 30 * time.Second
 
-// handBack reports whether another instance should hold the lease.
-func (c *Cell) handBack() bool {
+// shouldHandOver reports whether another instance has ranked first for longer
+// than rebalanceAfter.
+func (c *Cell) shouldHandOver() bool {
 	ranked := instance.Rank(Name(c.cfg.Cell), c.cfg.Fleet.Entries())
 	now := time.Now()
 
@@ -26,21 +27,21 @@
 	defer c.mu.Unlock()
 
 	if len(ranked) == 0 || ranked[0] == c.cfg.Self {
-		c.best = ""
+		c.preferred = ""
 
 		return false
 	}
 
-	if c.best != ranked[0] {
-		c.best, c.bestSince = ranked[0], now
+	if c.preferred != ranked[0] {
+		c.preferred, c.preferredSince = ranked[0], now
 
 		return false
 	}
 
-	return now.Sub(c.bestSince) > rebalanceAfter
+	return now.Sub(c.preferredSince) > rebalanceAfter
 }
 
-// Drain makes the instance give up the lease and not take it again.
+// Drain releases the lease and keeps the instance from acquiring it again.
 func (c *Cell) Drain(ctx context.Context) {
 	c.mu.Lock()
 	c.draining = true
@@ -49,13 +50,13 @@
 	c.Release(ctx)
 }
 
-// Release hands the lease to the instance that ranks first among the others.
-// Orders in hand are finished first, so that the successor need not wait for
-// proof that none will come.
+// Release hands the lease over to the instance that ranks first among the
+// others. It waits until the orders in flight have ended, so that the successor
+// need not wait for proof that none will arrive late.
 func (c *Cell) Release(ctx context.Context) {
 	c.mu.Lock()
-	held, t := c.held, c.tenure
-	c.held, c.tenure = lease.Held{}, nil
+	held, t := c.held, c.term
+	c.held, c.term = lease.Held{}, nil
 	c.watch = lease.Watch{}
 	c.mu.Unlock()
 
@@ -89,6 +90,7 @@
 	}
 }
 
+// successor returns the other instance that ranks first for the cell, or "".
 func (c *Cell) successor() instance.ID {
 	for _, id := range instance.Rank(Name(c.cfg.Cell), c.cfg.Fleet.Entries()) {
 		if id != c.cfg.Self {
--- /dev/null
+++ b/internal/placement/cell/history.go
@@ -0,0 +1,109 @@
+package cell
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/fulmarcross/fulmarcross/internal/placement/history"
+	"github.com/fulmarcross/fulmarcross/internal/platform/object"
+	"github.com/fulmarcross/fulmarcross/internal/wire/record"
+)
+
+// modelHistory is the history of the uses of the cell's models.
+type modelHistory struct {
+	uses history.Book
+	// loaded says that the stored history was read, or that there is none.
+	loaded bool
+	// candidateModels are the models that are worth a look, as of lookedAt.
+	candidateModels []string
+	candidatesAt    time.Time
+}
+
+const (
+	// candidatesEvery is the interval at which all models are searched for
+	// candidates.
+	candidatesEvery = 10 * time.Second
+	// candidateHorizon is how far ahead uses are predicted for that. It covers
+	// the longest loads.
+	candidateHorizon = 2 * time.Minute
+	// historyWriteEvery is the interval at which the history is written to the
+	// object store, as one object.
+	historyWriteEvery = 5 * time.Minute
+	// longestLoad and smallestAcceleratorShare give the lowest rate of use that
+	// makes a model a candidate: one at which even a model that takes this long
+	// to load and this small a share of an accelerator is not worth loading.
+	longestLoad = 2 * time.Minute
+	// smallestAcceleratorShare is a fraction of one accelerator.
+	smallestAcceleratorShare = 0.01
+)
+
+// addUse records a use of the model at now, if n, its number of requests, is
+// not zero.
+func (p *modelHistory) addUse(model string, now time.Time, n int) {
+	if n > 0 {
+		p.uses.Used(model, now)
+	}
+}
+
+// candidates returns the models that may be worth loading ahead of use.
+func (p *modelHistory) candidates(now time.Time, worth float64) []string {
+	if now.Sub(p.candidatesAt) >= candidatesEvery {
+		least := smallestAcceleratorShare / (longestLoad.Seconds() * worth)
+		p.candidateModels, p.candidatesAt = p.uses.Candidates(now, candidateHorizon, least), now
+	}
+
+	return p.candidateModels
+}
+
+// maintainHistory reads the history that former holders have written, and then
+// writes it at intervals. A holder that crashes loses at most one interval.
+func (t *leaseTerm) maintainHistory() {
+	for !t.readHistory() {
+		if !t.sleep(publishEvery) {
+			return
+		}
+	}
+
+	for t.sleep(historyWriteEvery) {
+		t.writeHistory(t.ctx)
+	}
+
+	// When the term ends in an orderly way, nothing is lost.
+	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	defer cancel()
+
+	t.writeHistory(ctx)
+}
+
+func (t *leaseTerm) readHistory() bool {
+	data, err := t.cfg.Objects.Get(t.ctx, record.HistoryObject(t.cfg.Cell))
+
+	var missing *object.NotFoundError
+	if err != nil && !errors.As(err, &missing) {
+		return false
+	}
+
+	t.mu.Lock()
+	defer t.mu.Unlock()
+
+	if err == nil {
+		if err := t.history.uses.Restore(data); err != nil {
+			t.cfg.Logger.Error().Err(err).Int("cell", t.cfg.Cell).Msg("cannot decode model history")
+		}
+	}
+
+	t.history.loaded = true
+
+	return true
+}
+
+func (t *leaseTerm) writeHistory(ctx context.Context) {
+	t.mu.Lock()
+	data := t.history.uses.Save()
+	t.mu.Unlock()
+
+	if err := t.cfg.Objects.Put(ctx, record.HistoryObject(t.cfg.Cell), data); err != nil {
+		t.cfg.Logger.Warn().Err(err).Int("cell", t.cfg.Cell).Msg("cannot write model history")
+	}
+}
--- a/internal/placement/cell/orders.go
+++ b/internal/placement/cell/orders.go
@@ -16,11 +16,12 @@
 
 func newID() string { return uuid.NewString() }
 
-// load writes the ledger row and then orders the load. The row comes first:
-// whatever dies in between, the order can only do what the table counts.
-func (t *tenure) load(k ledger.Key, writeID string) {
+// load writes the ledger row and then orders the load. The row is written
+// first, so that no failure in between leaves an order for a replica that the
+// ledger does not count.
+func (t *leaseTerm) load(k ledger.Key, writeID string) {
 	t.mu.Lock()
-	row := t.book.Row(k)
+	row := t.ledger.Row(k)
 
 	if row == nil || row.WriteID != writeID {
 		t.mu.Unlock()
@@ -42,7 +43,7 @@
 		Writes: []table.Write{{Key: key, Value: value}},
 	})
 	if err != nil {
-		t.notWritten(k, err)
+		t.handleWriteError(k, err)
 
 		return
 	}
@@ -55,38 +56,39 @@
 	t.orderLoad(k, target.Load{Model: k.Model, Base: base, Bytes: bytes}, loadID(writeID))
 }
 
-// loadID returns the id of all orders to load a row, whoever sends them.
+// loadID returns the id of all orders to load a row, in every lease term.
 func loadID(writeID string) string { return "load/" + writeID }
 
-// notWritten handles a row that could not be written. On a conflict it had no
-// effect, and the reservation is dropped. In any other case the tenure has
-// ended while the write was in doubt; the successor reads what is there.
-func (t *tenure) notWritten(k ledger.Key, err error) {
+// handleWriteError handles a row that could not be written. After a conflict the
+// write had no effect, so the row is dropped. Any other error means that the
+// term has ended while the write was in doubt; the successor reads the ledger
+// from the store.
+func (t *leaseTerm) handleWriteError(k ledger.Key, err error) {
 	if !table.IsConflict(err) {
 		return
 	}
 
 	t.mu.Lock()
-	t.book.Remove(k)
+	t.ledger.Remove(k)
 	t.mu.Unlock()
 
-	t.lostLease(err)
+	t.foundSuccessor(err)
 }
 
-// orderLoad sends the order until the engine has answered it. Sending it
-// again under the same id is harmless.
-func (t *tenure) orderLoad(k ledger.Key, a target.Load, id string) {
+// orderLoad sends the order until the engine has answered it. Sending it again
+// is harmless, because the engine carries out each id only once.
+func (t *leaseTerm) orderLoad(k ledger.Key, a target.Load, id string) {
 	t.event(timeline.LoadOrdered, k, "")
 
 	for {
-		got, err := t.submit(k, a, id)
+		ans, err := t.submit(k, a, id)
 		if err == nil {
-			t.answered(k, got, true)
+			t.handleAnswer(k, ans, true)
 
 			return
 		}
 
-		if t.settledBy(k, err) || !t.sleep(orderRetry) {
+		if t.endsOrder(k, err) || !t.sleep(orderRetry) {
 			return
 		}
 	}
@@ -95,11 +97,10 @@
 // orderRetry is the pause before an order without an answer is sent again.
 const orderRetry = 200 * time.Millisecond
 
-// settledBy reports whether the error ends the order, so that it is not sent
-// again.
-func (t *tenure) settledBy(k ledger.Key, err error) bool {
+// endsOrder reports whether the order need not be sent again after the error.
+func (t *leaseTerm) endsOrder(k ledger.Key, err error) bool {
 	if isStale(err) {
-		t.lostLease(err)
+		t.foundSuccessor(err)
 
 		return true
 	}
@@ -107,22 +108,22 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	row := t.book.Row(k)
+	row := t.ledger.Row(k)
 	if row == nil {
 		return true
 	}
 
 	if isNoMemory(err) {
 		// The engine proved that it did not load.
-		row.State.Acked = true
+		row.State.Acknowledged = true
 		row.State.Incarnation = t.targets[k.Target].inventory.Incarnation
-		t.fail(row, time.Now())
+		t.recordLoadFailure(row, time.Now())
 
 		return true
 	}
 
-	// A target that is gone takes no orders. Its rows are removed when the
-	// list proves that it is gone.
+	// A target that is not on the instance list gets no orders. Its rows are
+	// removed once the list proves that it is gone.
 	_, listed := t.cfg.Fleet.Lookup(k.Target)
 
 	return !listed
@@ -131,36 +132,36 @@
 // answer is an engine's answer to an order.
 type answer struct {
 	inventory target.Inventory
-	// alone says that no other order was in flight meanwhile. Otherwise the
-	// inventory may have been taken before another order took effect whose
-	// answer was handled first, and would show its replica as missing.
+	// alone says that no other order to the engine was in flight meanwhile.
+	// Otherwise another order, whose answer was handled first, may have taken
+	// effect after this inventory was read, which then lacks its replica.
 	alone bool
-	// epoch is the engine's after this answer. If it has changed by the time
-	// the inventory is looked at, another order was answered in between.
+	// epoch is the engine's epoch after this answer. If it has changed by the
+	// time the inventory is applied, another order was answered in between.
 	epoch uint64
 }
 
-// submit sends one order, if this holder may. It checks the lease right
-// before and right after.
-func (t *tenure) submit(k ledger.Key, a target.Action, id string) (answer, error) {
+// submit sends one order, if this holder may still send it. It checks the lease
+// right before, and again after the answer.
+func (t *leaseTerm) submit(k ledger.Key, a target.Action, id string) (answer, error) {
 	t.mu.Lock()
 
 	now := time.Now()
 	token := t.held.Token
 
-	row, e := t.book.Row(k), t.targets[k.Target]
+	row, e := t.ledger.Row(k), t.targets[k.Target]
 	if row == nil || e == nil || !t.mayOrder(row, now) {
 		t.mu.Unlock()
 
-		return answer{}, &lease.LapsedError{Cell: t.cfg.Cell, Token: token}
+		return answer{}, &lease.ExpiredError{Cell: t.cfg.Cell, Token: token}
 	}
 
-	doubt := row.State.Doubt
-	row.State.Doubt = now
+	doubt := row.State.InDoubtSince
+	row.State.InDoubtSince = now
 	e.orders++
 	epoch := e.epoch
 
-	t.inHand.Add(1)
+	t.inFlight.Add(1)
 	t.mu.Unlock()
 
 	inv, err := e.engine.Submit(t.ctx, target.Order{ID: id, Token: token, Action: a})
@@ -168,21 +169,22 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	t.inHand.Add(-1)
+	t.inFlight.Add(-1)
 
 	e.orders--
 	alone := e.orders == 0 && e.epoch == epoch
 	e.epoch++
 
 	if err == nil || isNoMemory(err) || isStale(err) {
-		// The engine has dealt with this order. An earlier one without an
-		// answer stays in doubt.
-		row.State.Doubt = doubt
+		// The engine has answered this order. An earlier one without an answer
+		// stays in doubt.
+		row.State.InDoubtSince = doubt
 	}
 
 	if !t.mayOrder(row, time.Now()) {
-		// The order went out while the lease lapsed. The row stays counted
-		// until the order's effect is proved, by this holder or the next.
+		// The lease expired while the order was in flight. The row stays
+		// counted until this holder or its successor has proof of the order's
+		// effect.
 		t.cfg.Log.Add(timeline.Event{Kind: timeline.LateOrder, Model: k.Model, Target: k.Target, Detail: id})
 	}
 
@@ -190,9 +192,9 @@
 }
 
 // mayOrder reports whether an order for the row may be sent. Without a valid
-// lease it may only if the engine itself refuses former holders, and only for
-// a row that the table is known to count.
-func (t *tenure) mayOrder(row *ledger.Row, now time.Time) bool {
+// lease, it may be sent only to an engine that itself refuses former holders,
+// and only for a row whose write to the store is confirmed.
+func (t *leaseTerm) mayOrder(row *ledger.Row, now time.Time) bool {
 	if t.held.Valid(now, t.cfg.Terms) {
 		return true
 	}
@@ -200,18 +202,18 @@
 	return row.Version != 0 && t.cfg.ChecksTokens(row.Target)
 }
 
-// answered takes in the inventory that came with the answer to an order.
-func (t *tenure) answered(k ledger.Key, a answer, load bool) {
+// handleAnswer applies the inventory in the answer to an order.
+func (t *leaseTerm) handleAnswer(k ledger.Key, a answer, load bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	row := t.book.Row(k)
+	row := t.ledger.Row(k)
 	if row == nil {
 		return
 	}
 
 	if load {
-		row.State.Acked = true
+		row.State.Acknowledged = true
 		row.State.Incarnation = a.inventory.Incarnation
 	}
 
@@ -226,28 +228,28 @@
 	}
 
 	if e != nil {
-		e.poke()
+		e.pollSoon()
 	}
 
-	t.poke()
+	t.requestRound()
 }
 
-// unload orders an unload until it is answered.
-func (t *tenure) unload(k ledger.Key) {
+// unload sends an unload order until the engine has answered it.
+func (t *leaseTerm) unload(k ledger.Key) {
 	t.event(timeline.UnloadOrdered, k, "")
 
 	id := "unload/" + newID()
 
 	for {
-		got, err := t.submit(k, target.Unload{Model: k.Model}, id)
+		ans, err := t.submit(k, target.Unload{Model: k.Model}, id)
 		if err == nil {
-			t.answered(k, got, false)
+			t.handleAnswer(k, ans, false)
 
 			return
 		}
 
 		if isStale(err) {
-			t.lostLease(err)
+			t.foundSuccessor(err)
 
 			return
 		}
@@ -258,12 +260,12 @@
 	}
 }
 
-// remove deletes a row that is proved to hold nothing.
-func (t *tenure) remove(k ledger.Key, version, fence uint64) {
+// remove deletes a row whose replica is proved to be gone.
+func (t *leaseTerm) remove(k ledger.Key, version, fence uint64) {
 	err := table.SettleDelete(t.ctx, t.cfg.Table, record.LedgerKey(t.cfg.Cell, k), version,
 		table.Condition{Key: record.FenceKey(t.cfg.Cell), Version: fence})
 	if table.IsConflict(err) {
-		t.lostLease(err)
+		t.foundSuccessor(err)
 
 		return
 	}
@@ -275,53 +277,57 @@
 	t.event(timeline.LedgerRemoved, k, "")
 
 	t.mu.Lock()
-	t.book.Remove(k)
+	t.ledger.Remove(k)
 	t.mu.Unlock()
-	t.poke()
+	t.requestRound()
 }
 
-func (t *tenure) event(kind timeline.Kind, k ledger.Key, detail string) {
+func (t *leaseTerm) event(kind timeline.Kind, k ledger.Key, detail string) {
 	t.cfg.Log.Add(timeline.Event{Kind: kind, Model: k.Model, Target: k.Target, Detail: detail})
 }
 
-// advance moves every row on that waits for something: replicas to be
-// unloaded, rows to be removed, orders to be repeated after a take-over.
-func (t *tenure) advance(now time.Time) {
-	t.book.All(func(r *ledger.Row) { t.advanceRow(r, now) })
+// advance starts the next operation of each row, if one is due: unloading a
+// replica, removing a row, or sending a load order again after a takeover.
+func (t *leaseTerm) advance(now time.Time) {
+	t.ledger.All(func(r *ledger.Row) { t.advanceRow(r, now) })
 }
 
-func (t *tenure) advanceRow(r *ledger.Row, now time.Time) {
+func (t *leaseTerm) advanceRow(r *ledger.Row, now time.Time) {
 	e := t.targets[r.Target]
-	t.noteSettled(r, now)
+	t.noteWriterResolved(r, now)
 
 	switch {
 	case r.Version == 0 || r.State.Busy:
 	case e == nil || r.State.Phase == target.Unloading:
 		t.tryRemove(r, e, now)
-	case r.Unloadable() && t.quiet(r.Key, now):
+	case r.Unloadable() && t.idleEverywhere(r.Key, now):
 		r.State.Phase = target.Unloading
 		r.State.Since = now
 		t.background(r, func(context.Context) { t.unload(r.Key) })
-	case t.orphaned(r, e):
+	case t.needsOrder(r, e):
 		id := loadID(r.WriteID)
 		load := target.Load{Model: r.Model, Base: r.Base, Bytes: r.Bytes}
 		t.background(r, func(context.Context) { t.orderLoad(r.Key, load, id) })
 	}
 }
 
-// orphaned reports whether the row was adopted and this holder has not ordered
-// its load yet. It orders it again, under the same id: that brings about what
-// the former holder may not have come to, and makes the engine ignore what the
-// former holder may still send.
-func (t *tenure) orphaned(r *ledger.Row, e *engineState) bool {
-	return !r.State.Own && !r.State.Acked && !r.State.Retiring && e.usable
+// needsOrder reports whether the row was adopted from a former holder and its
+// load order must be sent again. With the same id, that completes a load which
+// the former holder may not have ordered, and makes the engine ignore an order
+// that the former holder may still send.
+func (t *leaseTerm) needsOrder(r *ledger.Row, e *engineState) bool {
+	return !r.State.Own && !r.State.Acknowledged && !r.State.Retiring && e.usable
 }
 
-func (t *tenure) quiet(k ledger.Key, now time.Time) bool {
-	return t.feed.publishedWithout(k) && t.asks.Quiet(k, t.held.Token, t.feed.withoutSince(k), now)
+// idleEverywhere reports whether all entries have removed the replica from their
+// routing and run no request on it.
+func (t *leaseTerm) idleEverywhere(k ledger.Key, now time.Time) bool {
+	return t.published.omits(k) && t.demand.Quiet(k, t.held.Token, t.published.omittedSince(k), now)
 }
 
-func (t *tenure) tryRemove(r *ledger.Row, e *engineState, now time.Time) {
+// tryRemove removes the row if it may be removed; if not, it marks a row that
+// has waited for more than stuckAfter as stuck.
+func (t *leaseTerm) tryRemove(r *ledger.Row, e *engineState, now time.Time) {
 	ev := ledger.Evidence{
 		Now:          now,
 		ChecksTokens: t.cfg.ChecksTokens(r.Target),
@@ -329,8 +335,8 @@
 		TargetGone:   t.cfg.Fleet.Gone(r.Target, now),
 	}
 
-	if !r.State.SettledSince.IsZero() {
-		ev.Settled = now.Sub(r.State.SettledSince)
+	if !r.State.ResolvedSince.IsZero() {
+		ev.Resolved = now.Sub(r.State.ResolvedSince)
 	}
 
 	if e != nil && e.fresh && e.orders == 0 {
@@ -348,27 +354,27 @@
 	t.background(r, func(context.Context) { t.remove(k, version, fence) })
 }
 
-// noteSettled notes since when the writer of an adopted row has nothing in
-// hand.
-func (t *tenure) noteSettled(r *ledger.Row, now time.Time) {
+// noteWriterResolved records since when the writer of an adopted row is proved
+// to have no order in flight.
+func (t *leaseTerm) noteWriterResolved(r *ledger.Row, now time.Time) {
 	switch {
 	case r.State.Own:
-	case !t.settled(r, now):
-		r.State.SettledSince = time.Time{}
-	case r.State.SettledSince.IsZero():
-		r.State.SettledSince = now
+	case !t.writerResolved(r, now):
+		r.State.ResolvedSince = time.Time{}
+	case r.State.ResolvedSince.IsZero():
+		r.State.ResolvedSince = now
 	}
 }
 
 // stuckAfter is how long a row that is to be removed may wait for its proof
-// before its memory is no longer planned with.
+// before decisions stop counting on its memory.
 const stuckAfter = time.Second
 
-// settled reports whether whoever wrote the row has no order for it in hand.
-// This process knows of its own: a former tenure of it has ended only when its
-// orders were answered. An earlier process on this instance has ended, or this
-// one could not listen on its address.
-func (t *tenure) settled(r *ledger.Row, now time.Time) bool {
+// writerResolved reports whether the process that wrote the row has no order for
+// it in flight. That holds for rows of this instance: an earlier term of this
+// process ended only after all its orders were answered, and an earlier process
+// has ended, since this one could not listen on its address otherwise.
+func (t *leaseTerm) writerResolved(r *ledger.Row, now time.Time) bool {
 	if r.Holder == t.cfg.Self {
 		return true
 	}
@@ -376,8 +382,9 @@
 	return t.cfg.Fleet.Settled(r.Holder, r.Process, t.cfg.Cell, t.since, now)
 }
 
-// background runs f for the row; until it ends nothing else is begun for it.
-func (t *tenure) background(r *ledger.Row, f func(context.Context)) {
+// background runs f for the row in a goroutine. Until f returns, no other
+// operation starts for the row.
+func (t *leaseTerm) background(r *ledger.Row, f func(context.Context)) {
 	r.State.Busy = true
 
 	t.wg.Go(func() {
@@ -386,6 +393,6 @@
 		t.mu.Lock()
 		r.State.Busy = false
 		t.mu.Unlock()
-		t.poke()
+		t.requestRound()
 	})
 }
--- a/internal/placement/cell/schedule_test.go
+++ b/internal/placement/cell/schedule_test.go
@@ -16,13 +16,13 @@
 	"github.com/fulmarcross/fulmarcross/internal/standin/platform"
 )
 
-// mishap is one thing that goes wrong in a schedule.
-type mishap struct {
+// incident is one thing that goes wrong in a schedule.
+type incident struct {
 	name string
 	run  func(w *world, rng *rand.Rand)
 }
 
-var mishaps = []mishap{
+var incidents = []incident{
 	{"kill the holder", func(w *world, _ *rand.Rand) {
 		if p := w.holder(); p != nil && len(w.running()) > 1 {
 			w.kill(p)
@@ -94,7 +94,7 @@
 // many times slower.
 const schedules = 1000
 
-const modelsAsked = 6
+const modelCount = 6
 
 // runSchedule brings about mishaps in a seeded order and at seeded times while
 // models are asked for. Both sums are checked after every change on an engine.
@@ -102,7 +102,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		rng := newRand(seed)
-		w := newWorld(t, 3, modelsAsked, checksTokens)
+		w := newWorld(t, 3, modelCount, checksTokens)
 		w.jitter.Store(int64(seed%3) * int64(150*time.Millisecond))
 
 		for i := range 3 {
@@ -116,20 +116,20 @@
 		story := fmt.Sprintf("seed %d, tokens checked %v:", seed, checksTokens)
 
 		for range 3 + rng.IntN(4) {
-			m := mishaps[rng.IntN(len(mishaps))]
+			m := incidents[rng.IntN(len(incidents))]
 			if len(only) > 0 {
-				m = mishapNamed(only[rng.IntN(len(only))])
+				m = incidentNamed(only[rng.IntN(len(only))])
 			}
 
 			story += " " + m.name + ";"
 			m.run(w, rng)
 
 			for range 1 + rng.IntN(6) {
-				w.ask(modelName(rng.IntN(modelsAsked)), modelName(rng.IntN(modelsAsked)))
+				w.reportWaiting(modelName(rng.IntN(modelCount)), modelName(rng.IntN(modelCount)))
 				time.Sleep(rand64(rng, 1200*time.Millisecond))
 			}
 
-			w.assertKept(story)
+			w.assertNoViolations(story)
 		}
 
 		// When everything works again, so must the cell.
@@ -137,14 +137,14 @@
 		w.weights.Slow(1)
 		time.Sleep(25 * time.Second)
 
-		_, ok := w.askUntil(modelName(0), time.Minute)
+		_, ok := w.reportUntilReady(modelName(0), time.Minute)
 		assert.Assert(t, ok, "%s the cell did not recover: %s", story, w.state())
-		w.assertKept(story)
+		w.assertNoViolations(story)
 	})
 }
 
-func mishapNamed(name string) mishap {
-	for _, m := range mishaps {
+func incidentNamed(name string) incident {
+	for _, m := range incidents {
 		if m.name == name {
 			return m
 		}
--- a/internal/placement/cell/shares.go
+++ b/internal/placement/cell/shares.go
@@ -8,14 +8,14 @@
 	"github.com/fulmarcross/fulmarcross/internal/placement/share"
 )
 
-// askSharesEvery is the time between two asks for a part of the loads.
-const askSharesEvery = share.GrantFor / 6
+// requestSharesEvery is the interval at which a share of the loads is requested.
+const requestSharesEvery = share.GrantFor / 6
 
-// loading returns how many loads of the cell are in flight.
-func (t *tenure) loading() share.Amount {
+// loadsInFlight counts the cell's loads in flight.
+func (t *leaseTerm) loadsInFlight() share.Amount {
 	var n share.Amount
 
-	t.book.All(func(r *ledger.Row) {
+	t.ledger.All(func(r *ledger.Row) {
 		switch {
 		case r.State.Phase != target.Loading:
 		case r.Base == "":
@@ -28,51 +28,51 @@
 	return n
 }
 
-// loadShare returns how many loads the cell may have in flight now.
-func (t *tenure) loadShare(now time.Time) share.Amount {
+// loadShare returns how many loads the cell may have in flight at now.
+func (t *leaseTerm) loadShare(now time.Time) share.Amount {
 	switch {
 	case t.cfg.AskShare == nil:
 		return t.cfg.Loads
-	case now.Before(t.partUntil):
-		return t.part
+	case now.Before(t.grantedUntil):
+		return t.granted
 	}
 
 	return share.Amount{}
 }
 
-// askShares asks for a part of the loads again and again, for what waits and
-// what is in flight.
-func (t *tenure) askShares() {
+// requestShares requests a share of the loads at intervals, for the loads in
+// flight and the models that requests wait for.
+func (t *leaseTerm) requestShares() {
 	for {
 		t.mu.Lock()
-		asked := time.Now()
-		using := t.loading()
-		a := share.Ask{Cell: t.cfg.Cell, Using: using, Want: t.wanted(using, asked), Held: t.loadShare(asked)}
+		sent := time.Now()
+		using := t.loadsInFlight()
+		a := share.Ask{Cell: t.cfg.Cell, Using: using, Want: t.desiredLoads(using, sent), Held: t.loadShare(sent)}
 		t.mu.Unlock()
 
-		got, err := t.cfg.AskShare(t.ctx, a)
+		granted, err := t.cfg.AskShare(t.ctx, a)
 
 		t.mu.Lock()
 		if err == nil {
-			t.part, t.partUntil = got, asked.Add(share.GrantFor)
+			t.granted, t.grantedUntil = granted, sent.Add(share.GrantFor)
 		}
 		t.mu.Unlock()
-		t.poke()
+		t.requestRound()
 
-		if !t.sleep(askSharesEvery) {
+		if !t.sleep(requestSharesEvery) {
 			return
 		}
 	}
 }
 
-// wanted returns how many loads the cell could have in flight. One more than
-// it uses is always asked for, so that the first wait finds a share at hand
-// where there are more shares than cells.
-func (t *tenure) wanted(using share.Amount, now time.Time) share.Amount {
+// desiredLoads returns how many loads the cell could have in flight. It includes
+// one more than are in flight, so that the first request for a cold model finds
+// a share already granted if there are more loads than cells.
+func (t *leaseTerm) desiredLoads(using share.Amount, now time.Time) share.Amount {
 	want := share.Amount{Models: using.Models + 1, Adapters: using.Adapters + 1}
 
-	for _, d := range t.asks.Merged(now) {
-		if d.Waiting == 0 || len(t.book.Model(d.Model)) > 0 {
+	for _, d := range t.demand.Merged(now) {
+		if d.Waiting == 0 || len(t.ledger.Model(d.Model)) > 0 {
 			continue
 		}
 
--- /dev/null
+++ b/internal/placement/cell/term.go
@@ -0,0 +1,437 @@
+package cell
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/fulmarcross/fulmarcross/internal/fleet/clock"
+	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
+	"github.com/fulmarcross/fulmarcross/internal/fleet/target"
+	"github.com/fulmarcross/fulmarcross/internal/placement/demand"
+	"github.com/fulmarcross/fulmarcross/internal/placement/lease"
+	"github.com/fulmarcross/fulmarcross/internal/placement/ledger"
+	"github.com/fulmarcross/fulmarcross/internal/placement/replica"
+	"github.com/fulmarcross/fulmarcross/internal/placement/share"
+	"github.com/fulmarcross/fulmarcross/internal/platform/table"
+	"github.com/fulmarcross/fulmarcross/internal/platform/weight"
+	"github.com/fulmarcross/fulmarcross/internal/serving/router"
+	"github.com/fulmarcross/fulmarcross/internal/wire/record"
+)
+
+// leaseTerm is one uninterrupted time during which this instance holds the
+// cell's lease, with the state that it decides on.
+type leaseTerm struct {
+	*Cell
+
+	ctx     context.Context //nolint:containedctx // It is cancelled when the term ends.
+	cancel  context.CancelFunc
+	wg      sync.WaitGroup
+	trigger chan struct{}
+	since   time.Time
+
+	mu     sync.Mutex
+	held   lease.Held
+	ledger ledger.Book
+	demand demand.Book
+	models map[string]weight.Checkpoint
+	// ledgerRead says that the ledger was read from the store, without which
+	// nothing may be decided.
+	ledgerRead   bool
+	targets      map[instance.ID]*engineState
+	loadFailures map[string]int
+	loadSpeed    speed
+	waits        []router.Wait
+	published    publication
+	history      modelHistory
+	// granter divides the loads between the cells, if this is the first cell.
+	granter share.Granter
+	// granted is this cell's, until partUntil.
+	granted      share.Amount
+	grantedUntil time.Time
+	// publishNow makes the next round publish, even before publishEvery.
+	publishNow bool
+}
+
+// The intervals of a term's loops.
+const (
+	decideEvery  = 100 * time.Millisecond
+	publishEvery = 500 * time.Millisecond
+	modelsEvery  = 30 * time.Second
+)
+
+func newLeaseTerm(c *Cell, held lease.Held) *leaseTerm {
+	ctx, cancel := context.WithCancel(context.Background())
+
+	t := &leaseTerm{
+		Cell:         c,
+		ctx:          ctx,
+		cancel:       cancel,
+		trigger:      make(chan struct{}, 1),
+		since:        time.Now(),
+		held:         held,
+		targets:      make(map[instance.ID]*engineState),
+		loadFailures: make(map[string]int),
+		loadSpeed:    speed{perSecond: c.cfg.BytesPerSecond},
+		granter:      share.Granter{Total: c.cfg.Loads},
+	}
+	t.granter.Started(t.since)
+
+	return t
+}
+
+func (t *leaseTerm) start() {
+	t.wg.Go(t.run)
+	t.wg.Go(t.refreshModels)
+
+	if t.cfg.Objects != nil {
+		t.wg.Go(t.maintainHistory)
+	}
+
+	if t.cfg.AskShare != nil {
+		t.wg.Go(t.requestShares)
+	}
+}
+
+// stop ends the term and waits until no order of it is in flight.
+func (t *leaseTerm) stop() {
+	t.cancel()
+	t.wg.Wait()
+}
+
+func (t *leaseTerm) setHeld(h lease.Held) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+
+	t.held = h
+}
+
+// requestRound makes run start the next round at once.
+func (t *leaseTerm) requestRound() {
+	select {
+	case t.trigger <- struct{}{}:
+	default:
+	}
+}
+
+// run adopts the ledger and then runs rounds until the term ends.
+func (t *leaseTerm) run() {
+	for !t.adoptLedger() {
+		if !t.sleep(decideEvery) {
+			return
+		}
+	}
+
+	timer := time.NewTimer(decideEvery)
+	defer timer.Stop()
+
+	for t.ctx.Err() == nil {
+		t.runRound()
+		timer.Reset(decideEvery)
+
+		select {
+		case <-t.ctx.Done():
+		case <-t.trigger:
+		case <-timer.C:
+		}
+	}
+}
+
+func (t *leaseTerm) sleep(d time.Duration) bool {
+	return clock.Sleep(t.ctx, d) == nil
+}
+
+// adoptLedger reads the cell's ledger from the store. It runs after the fence
+// was written, so a former holder can add no more rows, and every order that a
+// former holder may still send is for a row that is counted here.
+func (t *leaseTerm) adoptLedger() bool {
+	rows, err := table.ScanAll(t.ctx, t.cfg.Table, record.LedgerPrefix(t.cfg.Cell))
+	if err != nil {
+		return false
+	}
+
+	t.mu.Lock()
+	defer t.mu.Unlock()
+
+	now := time.Now()
+
+	for _, row := range rows {
+		r, err := record.DecodeLedger(row.Key, row.Value, row.Version)
+		if err != nil {
+			t.cfg.Logger.Error().Err(err).Msg("cannot decode ledger row")
+
+			continue
+		}
+
+		r.State = ledger.State{Phase: target.Loading, Since: now, LastUsed: now}
+		t.ledger.Adopt(r)
+	}
+
+	t.ledgerRead = true
+	t.publishNow = true
+
+	return true
+}
+
+// refreshModels reads the weight store's list of checkpoints at intervals.
+func (t *leaseTerm) refreshModels() {
+	for {
+		checkpoints, err := t.cfg.Weights.Checkpoints(t.ctx)
+		if err == nil {
+			models := make(map[string]weight.Checkpoint, len(checkpoints))
+			for _, cp := range checkpoints {
+				models[cp.Name] = cp
+			}
+
+			t.mu.Lock()
+			t.models = models
+			t.mu.Unlock()
+			t.requestRound()
+		}
+
+		pause := modelsEvery
+		if err != nil {
+			pause = publishEvery
+		}
+
+		if !t.sleep(pause) {
+			return
+		}
+	}
+}
+
+// report records an entry's demand.
+func (t *leaseTerm) report(r demand.Report) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+
+	now := time.Now()
+	t.demand.Take(r, now)
+
+	for _, d := range r.Waiting {
+		t.history.addUse(d.Model, now, d.Waiting)
+	}
+
+	for _, u := range r.Uses {
+		t.history.addUse(u.Model, now, u.Running+u.Served)
+
+		if row := t.ledger.Row(u.Key); row != nil && u.Running+u.Served > 0 {
+			row.State.LastUsed = now
+		}
+	}
+
+	t.requestRound()
+}
+
+// runRound updates the targets, decides, carries the decisions out and
+// publishes, once.
+func (t *leaseTerm) runRound() {
+	now := time.Now()
+
+	t.mu.Lock()
+	defer t.mu.Unlock()
+
+	t.syncTargets(now)
+
+	if t.models != nil {
+		t.countRunning()
+
+		s := t.decisionSnapshot(now)
+		t.carryOut(replica.Decide(s), now)
+		t.countWaiting(s.Demand)
+	}
+
+	t.advance(now)
+	t.publish(now)
+}
+
+// countRunning sums the running requests of each replica over all entries.
+func (t *leaseTerm) countRunning() {
+	t.ledger.All(func(r *ledger.Row) { r.State.Running = 0 })
+
+	for _, u := range t.demand.Uses() {
+		if row := t.ledger.Row(u.Key); row != nil {
+			row.State.Running += u.Running
+		}
+	}
+}
+
+// decisionSnapshot returns the input of a decision.
+func (t *leaseTerm) decisionSnapshot(now time.Time) *replica.View {
+	v := &replica.View{
+		Now:            now,
+		Book:           &t.ledger,
+		Models:         t.models,
+		Demand:         t.demand.Merged(now),
+		BytesPerSecond: t.loadSpeed.perSecond,
+		Accelerators:   make(map[string]int),
+		Terms:          t.cfg.Policy,
+	}
+
+	if t.history.loaded {
+		v.Forecast = &t.history.uses
+		v.Candidates = t.history.candidates(now, t.cfg.Policy.Worth)
+	}
+
+	for _, p := range t.cfg.Lists().Plans() {
+		if p.Accelerators > 0 {
+			v.Accelerators[p.Name] = p.Accelerators
+		}
+	}
+
+	part, using := t.loadShare(now), t.loadsInFlight()
+	v.FreeLoads = part.Models - using.Models
+	v.FreeAdapterLoads = part.Adapters - using.Adapters
+
+	v.Targets = t.targetSnapshots(now)
+
+	return v
+}
+
+// carryOut carries out the decisions. Loads and unloads run in goroutines of
+// their own, because they wait for the store and the engines.
+func (t *leaseTerm) carryOut(decisions []replica.Decision, now time.Time) {
+	t.waits = t.waits[:0]
+	valid := t.held.Valid(now, t.cfg.Terms)
+
+	for _, d := range decisions {
+		switch d := d.(type) {
+		case replica.Load:
+			if valid {
+				t.beginLoad(d, now)
+			}
+
+			t.waits = append(t.waits, router.Wait{Model: d.Model, Ready: d.Ready})
+		case replica.Retire:
+			// Without the lease no replica can be loaded in its place, so this
+			// one stays.
+			if valid {
+				t.retire(ledger.Key{Target: d.Target, Model: d.Model})
+			}
+		case replica.Revive:
+			t.revive(ledger.Key{Target: d.Target, Model: d.Model})
+		case replica.Expect:
+			t.waits = append(t.waits, router.Wait{Model: d.Model, Ready: d.Ready})
+		case replica.Deny:
+			t.waits = append(t.waits, router.Wait{Model: d.Model, Reason: d.Reason, RetryAfter: d.RetryAfter})
+		}
+	}
+
+	if !valid {
+		t.denyLoads()
+	}
+}
+
+// countWaiting sets how many requests wait for each model, whether it is loaded
+// or not.
+func (t *leaseTerm) countWaiting(demand []replica.Demand) {
+	for _, d := range demand {
+		if d.Waiting == 0 {
+			continue
+		}
+
+		at := slices.IndexFunc(t.waits, func(w router.Wait) bool { return w.Model == d.Model })
+		if at < 0 {
+			at = len(t.waits)
+			t.waits = append(t.waits, router.Wait{Model: d.Model})
+		}
+
+		t.waits[at].Waiting = d.Waiting
+	}
+}
+
+// reasonNoLease is the reason that waiting requests are given while the holder
+// cannot renew its lease.
+const reasonNoLease = "the table service is unavailable"
+
+// denyLoads replaces the predicted ready times of models without a replica by
+// denials: without the lease no load can be written to the ledger, so none may
+// be promised.
+func (t *leaseTerm) denyLoads() {
+	for i, w := range t.waits {
+		if rows := t.ledger.Model(w.Model); w.Reason == "" && len(rows) == 0 {
+			t.waits[i] = router.Wait{Model: w.Model, Reason: reasonNoLease, RetryAfter: t.cfg.Terms.Duration}
+		}
+	}
+}
+
+func (t *leaseTerm) beginLoad(d replica.Load, now time.Time) {
+	e := t.targets[d.Target]
+
+	row, err := t.ledger.Reserve(ledger.Row{
+		Key:     ledger.Key{Target: d.Target, Model: d.Model},
+		Base:    d.Base,
+		Bytes:   d.Bytes,
+		Plan:    d.Plan,
+		Token:   t.held.Token,
+		Holder:  t.cfg.Self,
+		Process: t.cfg.Process,
+		WriteID: newID(),
+		State: ledger.State{
+			Phase: target.Loading, Own: true, Since: now, LastUsed: now, Failures: t.loadFailures[d.Model],
+		},
+	}, e.inventory.Memory)
+	if err != nil {
+		t.cfg.Logger.Error().Err(err).Msg("ledger refused a decided load")
+
+		return
+	}
+
+	e.noteLoad(now)
+	t.wg.Go(func() { t.load(row.Key, row.WriteID) })
+}
+
+func (t *leaseTerm) retire(k ledger.Key) {
+	row := t.ledger.Row(k)
+	row.State.Retiring = true
+	t.publishNow = true
+}
+
+func (t *leaseTerm) revive(k ledger.Key) {
+	row := t.ledger.Row(k)
+	row.State.Retiring = false
+	t.publishNow = true
+}
+
+// foundSuccessor ends the term when the store or an engine shows that a
+// successor exists. It does not wait for the end, because it is called from the
+// term's own goroutines.
+func (t *leaseTerm) foundSuccessor(cause error) {
+	t.cfg.Logger.Warn().Err(cause).Int("cell", t.cfg.Cell).Msg("a successor holds the lease; ending the term")
+
+	token := t.token()
+
+	go t.loseLease(token)
+}
+
+func (t *leaseTerm) token() uint64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+
+	return t.held.Token
+}
+
+func isStale(err error) bool {
+	var stale *target.StaleTokenError
+
+	return errors.As(err, &stale)
+}
+
+// speed is an exponentially smoothed speed in bytes per second.
+type speed struct{ perSecond float64 }
+
+// add adds one completed load to the average.
+func (r *speed) add(bytes int64, d time.Duration) {
+	const gain = 0.2
+
+	if d <= 0 {
+		return
+	}
+
+	r.perSecond += gain * (float64(bytes)/d.Seconds() - r.perSecond)
+}
+
+func detail(format string, args ...any) string { return fmt.Sprintf(format, args...) }
--- a/internal/placement/cell/world_test.go
+++ b/internal/placement/cell/world_test.go
@@ -50,13 +50,13 @@
 	afterCommit func(p *proc, tx table.Transaction)
 	// jitter bounds the time that an order and its answer take on the way.
 	jitter atomic.Int64 // jitter is a time.Duration.
-	// deaf makes heartbeats get lost.
-	deaf atomic.Bool
+	// heartbeatsLost makes heartbeats get lost.
+	heartbeatsLost atomic.Bool
 
-	mu     sync.Mutex
-	procs  []*proc
-	faults []string
-	orders []sentOrder
+	mu         sync.Mutex
+	procs      []*proc
+	violations []string
+	orders     []sentOrder
 }
 
 // sentOrder is an order that went out.
@@ -123,28 +123,28 @@
 		sum += h.Bytes
 
 		if _, ok := w.platform.Row(record.LedgerKey(0, ledger.Key{Target: id, Model: h.Model})); !ok {
-			w.faultf("%s holds %s, which the ledger does not count", id, h.Model)
+			w.violationf("%s holds %s, which the ledger does not count", id, h.Model)
 		}
 	}
 
 	if sum > memory {
-		w.faultf("%s holds %d bytes of %d", id, sum, memory)
+		w.violationf("%s holds %d bytes of %d", id, sum, memory)
 	}
 }
 
-func (w *world) faultf(format string, args ...any) {
+func (w *world) violationf(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	w.faults = append(w.faults, fmt.Sprintf(format, args...))
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-func (w *world) assertKept(context string) {
+func (w *world) assertNoViolations(context string) {
 	w.t.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	assert.Equal(w.t, len(w.faults), 0, "%s: %v", context, w.faults)
+	assert.Equal(w.t, len(w.violations), 0, "%s: %v", context, w.violations)
 }
 
 // start runs a process on the instance. Its peers hear of it by heartbeats.
@@ -189,7 +189,7 @@
 	w.procs = append(w.procs, p)
 	w.mu.Unlock()
 
-	go w.beat(ctx, p)
+	go w.heartbeat(ctx, p)
 	go p.Run(ctx)
 
 	return p
@@ -236,7 +236,7 @@
 	return nil
 }
 
-func (w *world) alive(id instance.ID) *proc {
+func (w *world) procOf(id instance.ID) *proc {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
@@ -250,13 +250,13 @@
 }
 
 func (w *world) nudge(id instance.ID) {
-	if p := w.alive(id); p != nil {
+	if p := w.procOf(id); p != nil {
 		p.Wake()
 	}
 }
 
 func (w *world) send(ctx context.Context, to instance.ID, s *router.Snapshot) (bool, error) {
-	p := w.alive(to)
+	p := w.procOf(to)
 	if p == nil {
 		return false, errors.New("no such entry")
 	}
@@ -264,9 +264,9 @@
 	return p.table.Apply(s, time.Now()), ctx.Err()
 }
 
-// beat reads the list and tells all others how the process is, as long as it
+// heartbeat reads the list and tells all others how the process is, as long as it
 // lives and is not paused.
-func (w *world) beat(ctx context.Context, p *proc) {
+func (w *world) heartbeat(ctx context.Context, p *proc) {
 	for ctx.Err() == nil {
 		if p.gate.Wait(ctx) != nil {
 			return
@@ -289,7 +289,7 @@
 		w.mu.Unlock()
 
 		for _, o := range others {
-			if o != p && !w.deaf.Load() {
+			if o != p && !w.heartbeatsLost.Load() {
 				o.set.Hear(st, time.Now())
 			}
 		}
@@ -348,8 +348,8 @@
 	return best
 }
 
-// ask reports to the holder that an entry waits for the models.
-func (w *world) ask(models ...string) {
+// reportWaiting reports to the holder that an entry waits for the models.
+func (w *world) reportWaiting(models ...string) {
 	p := w.holder()
 	if p == nil {
 		return
@@ -365,13 +365,13 @@
 	_ = p.Report(r)
 }
 
-// askUntil asks again and again until the model is ready somewhere, and
+// reportUntilReady asks again and again until the model is ready somewhere, and
 // returns how long that took.
-func (w *world) askUntil(model string, patience time.Duration) (time.Duration, bool) {
+func (w *world) reportUntilReady(model string, patience time.Duration) (time.Duration, bool) {
 	began := time.Now()
 
 	for time.Since(began) < patience {
-		w.ask(model)
+		w.reportWaiting(model)
 
 		for _, e := range w.engines {
 			if e.Holds(model) {
@@ -423,7 +423,7 @@
 	}
 
 	p.mu.Lock()
-	t := p.tenure
+	t := p.term
 	p.mu.Unlock()
 
 	t.mu.Lock()
@@ -437,7 +437,7 @@
 		fmt.Fprintf(&b, " %s usable=%v fresh=%v %s orders=%d;", id, e.usable, e.fresh, e.State, e.orders)
 	}
 
-	t.book.All(func(r *ledger.Row) { fmt.Fprintf(&b, " %s@%s by %s: %+v;", r.Model, r.Target, r.Process, r.State) })
+	t.ledger.All(func(r *ledger.Row) { fmt.Fprintf(&b, " %s@%s by %s: %+v;", r.Model, r.Target, r.Process, r.State) })
 	fmt.Fprint(&b, t.waits)
 
 	return b.String()
--- a/internal/placement/lease/lease_test.go
+++ b/internal/placement/lease/lease_test.go
@@ -16,8 +16,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		terms := DefaultTerms()
 		start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-		slow := rapid.Float64Range(1-clockRate, 1).Draw(t, "slow")
-		fast := rapid.Float64Range(1, 1+clockRate).Draw(t, "fast")
+		slow := rapid.Float64Range(1-maxClockDrift, 1).Draw(t, "slow")
+		fast := rapid.Float64Range(1, 1+maxClockDrift).Draw(t, "fast")
 
 		on := func(rate float64, passed time.Duration) time.Time {
 			return start.Add(time.Duration(rate * float64(passed)))
--- a/internal/placement/leaserow/leaserow.go
+++ b/internal/placement/leaserow/leaserow.go
@@ -1,5 +1,4 @@
-// Package leaserow writes and reads the row of a lease in the table service,
-// for whoever takes part in holding it.
+// Package leaserow reads and writes a lease's row in the store.
 package leaserow
 
 import (
@@ -10,15 +9,16 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/record"
 )
 
-// Row is the row of a cell's lease, as one process uses it.
+// Row is the row of a cell's lease, as accessed by one process.
 type Row struct {
 	Table table.Service
 	Cell  int
-	// Process is this process, as its leases name it.
+	// Process is this process's id, as written into its leases.
 	Process string
 }
 
-// Decode returns what the row holds: nothing if it was never written.
+// Decode returns the row's record. A row that was never written gives a record
+// without a holder.
 func (r Row) Decode(row table.Row) (lease.Record, error) {
 	if row.Version == 0 {
 		return lease.Record{Cell: r.Cell}, nil
@@ -27,7 +27,8 @@
 	return record.DecodeLease(r.Cell, row.Value)
 }
 
-// Write replaces the row of the version given and returns its new version.
+// Write replaces the row if it still has the given version, and returns the
+// new version.
 func (r Row) Write(ctx context.Context, next lease.Record, version uint64) (uint64, error) {
 	key := record.LeaseKey(r.Cell)
 
@@ -37,11 +38,12 @@
 	})
 }
 
-// Own reads the row. It reports whether that still names this process with the
-// token, and the row's version.
+// Own reads the row and returns its version and whether it still names this
+// process with the token.
 //
-// It guards against a renewal whose answer came too late: it has changed the
-// row, so that the next one conflicts although the lease is still held.
+// It resolves a conflict with a former renewal of this process that took
+// effect although its answer timed out: the row's version has changed, but the
+// lease is still held.
 func (r Row) Own(ctx context.Context, token uint64) (version uint64, own bool, err error) {
 	rows, err := r.Table.Read(ctx, record.LeaseKey(r.Cell))
 	if err != nil {
@@ -54,25 +56,27 @@
 	return rows[0].Version, own, nil
 }
 
-// releaseTries is how often a release is written over renewals of the same
-// process; no more than one or two are on their way.
-const releaseTries = 3
+// maxReleaseAttempts bounds the attempts to write a release. Each one can
+// conflict with a renewal of the same process that is still in flight; there
+// are at most one or two of those.
+const maxReleaseAttempts = 3
 
-// Release writes the released lease over the row of the version given, also
-// when a renewal of this process that was on its way has changed it meanwhile.
-// Without that nobody would hold the lease until it runs out.
+// Release writes the released lease over the row of the given version. If a
+// renewal of this process that was in flight has changed the row meanwhile, it
+// tries again with the new version; otherwise the lease would have no holder
+// until it expires.
 func (r Row) Release(ctx context.Context, next lease.Record, version uint64) (uint64, error) {
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		written, err := r.Write(ctx, next, version)
-		if err == nil || !table.IsConflict(err) || try == releaseTries {
+		if err == nil || !table.IsConflict(err) || attempt == maxReleaseAttempts {
 			return written, err
 		}
 
-		now, own, readErr := r.Own(ctx, next.Token)
+		current, own, readErr := r.Own(ctx, next.Token)
 		if readErr != nil || !own {
 			return 0, err
 		}
 
-		version = now
+		version = current
 	}
 }
--- a/internal/placement/ledger/ledger.go
+++ b/internal/placement/ledger/ledger.go
@@ -1,6 +1,6 @@
-// Package ledger counts what is loaded, or may be: one row for each model on
-// each target, written before the order that loads it and removed only when
-// the unload is proved. It does no I/O and reads no clock.
+// Package ledger counts the replicas that are or may be loaded: one row for
+// each model on each target, written before the load order is sent and removed
+// only once the unload is proved. It does no I/O and reads no clock.
 package ledger
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/target"
 )
 
-// Key names a row.
+// Key identifies a row.
 type Key struct {
 	Target instance.ID
 	Model  string
@@ -26,122 +26,124 @@
 
 	Base  string
 	Bytes int64
-	// Plan is for whom the replica was loaded.
+	// Plan is the plan whose requests the replica was loaded for.
 	Plan string
 	// Token is the fencing token under which the row was first written.
 	Token uint64
-	// Holder and Process are who wrote it.
+	// Holder and Process are the instance and the process that wrote the row.
 	Holder  instance.ID
 	Process string
-	// WriteID is unique to the write, so that its writer can recognise it
-	// when the answer was lost.
+	// WriteID is unique to the write, so that a writer that got no answer can
+	// recognise its own row.
 	WriteID string
-	// Version is the row's version in the table, the condition of its
-	// removal. It is zero while the write is not yet proved.
+	// Version is the row's version in the store, a condition of its removal.
+	// It is zero until the write is confirmed.
 	Version uint64
 
 	State State
 }
 
-// State is what the holder knows of a row. It is not stored: a successor
-// learns it from the engines.
+// State is the holder's own state of a row. It is not stored: a successor
+// rebuilds it from the engines' inventories.
 type State struct {
 	Phase target.Phase
-	// Acked says that the engine has answered the load order of this holder.
-	Acked bool
-	// Incarnation is the engine's when it acknowledged.
+	// Acknowledged says that the engine has answered this holder's load order.
+	Acknowledged bool
+	// Incarnation is the engine's incarnation when it acknowledged.
 	Incarnation string
-	// Doubt is when an order for the row was last sent that got no answer, so
-	// that it may still arrive. Zero means that all were answered.
-	Doubt time.Time
-	// Stuck says that the row waits for a proof that will take a while, so
-	// that its memory cannot be planned with.
+	// InDoubtSince is when the last order for the row without an answer was
+	// sent, which may still arrive. Zero means that all were answered.
+	InDoubtSince time.Time
+	// Stuck says that the row is to be removed but its proof takes long, so
+	// that decisions must not count on its memory.
 	Stuck bool
-	// Retiring says that no new work goes to the replica and that it is
-	// unloaded once it is idle.
+	// Retiring says that the replica gets no new work and is unloaded once it
+	// is idle.
 	Retiring bool
-	// Own says that the row was written in this tenure, so that nobody else
-	// has ever sent an order for it. The others were found in the table at the
-	// take-over, and their writers may still have orders in hand.
+	// Own says that the row was written in this lease term, so that no other
+	// process has sent an order for it. Rows that were found in the store at
+	// the takeover are not: their writers may still have orders in flight.
 	Own bool
-	// SettledSince is since when the row's writer is proved to have no order
-	// in hand. Zero means that it is not proved.
-	SettledSince time.Time
+	// ResolvedSince is since when the row's writer is proved to have no order
+	// in flight. Zero means that it is not proved.
+	ResolvedSince time.Time
 	// Since is when the phase last changed.
 	Since time.Time
 	// LastUsed is when a request last ran or waited on the replica.
 	LastUsed time.Time
 	// Running is how many requests run on the replica, over all entries.
 	Running int
-	// Failures counts failed loads in a row.
+	// Failures counts consecutive failed loads.
 	Failures int
-	// Busy says that something is under way for the row, so that nothing else
-	// may be begun.
+	// Busy says that an operation on the row is running, so that no other may
+	// start.
 	Busy bool
 }
 
 // OvercommitError says that a row would exceed the target's memory.
 type OvercommitError struct {
 	Key          Key
-	Held, Memory int64
+	Used, Memory int64
 }
 
 func (e *OvercommitError) Error() string {
-	return fmt.Sprintf("ledger: %s on %s: %d of %d bytes are held", e.Key.Model, e.Key.Target, e.Held, e.Memory)
+	return fmt.Sprintf("ledger: %s does not fit on %s: %d of %d bytes are in use", e.Key.Model, e.Key.Target, e.Used, e.Memory)
 }
 
 // DuplicateError says that the model is already counted on the target.
 type DuplicateError struct{ Key Key }
 
 func (e *DuplicateError) Error() string {
-	return fmt.Sprintf("ledger: %s is already on %s", e.Key.Model, e.Key.Target)
+	return fmt.Sprintf("ledger: %s is already counted on %s", e.Key.Model, e.Key.Target)
 }
 
-// Book is a cell's ledger in memory. The zero value is empty. It is not safe
-// for concurrent use.
+// Book is a cell's ledger in memory. The zero value is empty and ready to use.
+// It is not safe for concurrent use.
 type Book struct {
 	rows map[Key]*Row
-	// held sums the bytes of all rows by target. A row counts from before its
-	// write until its removal is proved, whatever its phase.
-	held map[instance.ID]int64
+	// usedBytes sums the bytes of all rows by target. A row counts from before
+	// its write until its removal is proved, in every phase.
+	usedBytes map[instance.ID]int64
 	// models lists each model's rows, sorted by target.
 	models map[string][]*Row
 	// targets lists each target's rows, sorted by model.
 	targets map[instance.ID][]*Row
 }
 
-// Reserve adds a row, unless it would exceed memory.
+// Reserve adds a row, unless its key is counted already or its bytes exceed
+// the target's memory.
 func (b *Book) Reserve(r Row, memory int64) (*Row, error) {
 	if b.rows[r.Key] != nil {
 		return nil, &DuplicateError{Key: r.Key}
 	}
 
-	if held := b.held[r.Target]; held+r.Bytes > memory {
-		return nil, &OvercommitError{Key: r.Key, Held: held, Memory: memory}
+	if held := b.usedBytes[r.Target]; held+r.Bytes > memory {
+		return nil, &OvercommitError{Key: r.Key, Used: held, Memory: memory}
 	}
 
 	return b.Adopt(r), nil
 }
 
-// Adopt adds a row that exists whether it fits or not: one found in the
-// table, or a replica found on an engine.
+// Adopt adds a row that already exists, whether it fits or not: one found in
+// the store, or for a replica found on an engine. If its key is counted, Adopt
+// returns the counted row.
 func (b *Book) Adopt(r Row) *Row {
-	if old := b.rows[r.Key]; old != nil {
-		return old
+	if counted := b.rows[r.Key]; counted != nil {
+		return counted
 	}
 
 	b.init()
 
 	row := &r
 	b.rows[r.Key] = row
-	b.held[r.Target] += r.Bytes
+	b.usedBytes[r.Target] += r.Bytes
 	b.models[r.Model] = insert(b.models[r.Model], row)
 	b.targets[r.Target] = insert(b.targets[r.Target], row)
 
 	return row
 }
 
-// Remove takes the row off the book.
+// Remove deletes the row, if there is one.
 func (b *Book) Remove(k Key) {
 	row := b.rows[k]
 	if row == nil {
@@ -149,7 +151,7 @@
 	}
 
 	delete(b.rows, k)
-	b.held[k.Target] -= row.Bytes
+	b.usedBytes[k.Target] -= row.Bytes
 	b.models[k.Model] = remove(b.models, k.Model, row)
 	b.targets[k.Target] = remove(b.targets, k.Target, row)
 
@@ -159,7 +161,7 @@
 
 	if len(b.targets[k.Target]) == 0 {
 		delete(b.targets, k.Target)
-		delete(b.held, k.Target)
+		delete(b.usedBytes, k.Target)
 	}
 }
 
@@ -169,7 +171,7 @@
 	}
 
 	b.rows = make(map[Key]*Row)
-	b.held = make(map[instance.ID]int64)
+	b.usedBytes = make(map[instance.ID]int64)
 	b.models = make(map[string][]*Row)
 	b.targets = make(map[instance.ID][]*Row)
 }
@@ -193,14 +195,14 @@
 	return cmp.Or(cmp.Compare(a.Target, b.Target), strings.Compare(a.Model, b.Model))
 }
 
-// Row returns the row, or nil.
+// Row returns the row with the key, or nil.
 func (b *Book) Row(k Key) *Row { return b.rows[k] }
 
-// Len returns how many rows there are.
+// Len returns the number of rows.
 func (b *Book) Len() int { return len(b.rows) }
 
 // Held returns the bytes counted on the target.
-func (b *Book) Held(t instance.ID) int64 { return b.held[t] }
+func (b *Book) Held(t instance.ID) int64 { return b.usedBytes[t] }
 
 // Model returns the model's rows, sorted by target.
 func (b *Book) Model(name string) []*Row { return b.models[name] }
@@ -215,7 +217,8 @@
 	}
 }
 
-// Dependents returns how many adapters on the target need the model.
+// Dependents returns how many adapters on the target have the model as their
+// base.
 func (b *Book) Dependents(k Key) int {
 	n := 0
 
--- a/internal/placement/ledger/ledger_test.go
+++ b/internal/placement/ledger/ledger_test.go
@@ -96,7 +96,7 @@
 	var over *OvercommitError
 
 	assert.Assert(t, errors.As(err, &over))
-	assert.Equal(t, over.Held, int64(60))
+	assert.Equal(t, over.Used, int64(60))
 
 	_, err = b.Reserve(Row{Key: Key{"t", "a"}}, 100)
 
@@ -119,32 +119,32 @@
 		e     Evidence
 		want  bool
 	}{
-		"own, answered":                  {State{Own: true, Acked: true, Incarnation: "i2"}, Evidence{Inventory: empty}, true},
+		"own, answered":                  {State{Own: true, Acknowledged: true, Incarnation: "i2"}, Evidence{Inventory: empty}, true},
 		"own, never sent":                {State{Own: true}, Evidence{Inventory: empty}, true},
-		"own, still loaded":              {State{Own: true, Acked: true, Incarnation: "i2"}, Evidence{Inventory: holding}, false},
-		"own, engine silent":             {State{Own: true, Acked: true, Incarnation: "i2"}, Evidence{}, false},
-		"own, sent without an answer":    {State{Own: true, Doubt: now.Add(-time.Second)}, Evidence{Inventory: empty}, false},
-		"own, sent long ago":             {State{Own: true, Doubt: now.Add(-long)}, Evidence{Inventory: empty}, true},
-		"own, doubt, but answered since": {State{Own: true, Acked: true, Incarnation: "i2", Doubt: now}, Evidence{Inventory: empty}, true},
+		"own, still loaded":              {State{Own: true, Acknowledged: true, Incarnation: "i2"}, Evidence{Inventory: holding}, false},
+		"own, engine silent":             {State{Own: true, Acknowledged: true, Incarnation: "i2"}, Evidence{}, false},
+		"own, sent without an answer":    {State{Own: true, InDoubtSince: now.Add(-time.Second)}, Evidence{Inventory: empty}, false},
+		"own, sent long ago":             {State{Own: true, InDoubtSince: now.Add(-long)}, Evidence{Inventory: empty}, true},
+		"own, doubt, but answered since": {State{Own: true, Acknowledged: true, Incarnation: "i2", InDoubtSince: now}, Evidence{Inventory: empty}, true},
 		"own, doubt, answered by an earlier incarnation": {
-			State{Own: true, Acked: true, Incarnation: "i1", Doubt: now}, Evidence{Inventory: empty}, false,
+			State{Own: true, Acknowledged: true, Incarnation: "i1", InDoubtSince: now}, Evidence{Inventory: empty}, false,
 		},
 		"adopted, writer unsettled, fenced": {
-			State{Acked: true, Incarnation: "i2"}, Evidence{Inventory: empty, ChecksTokens: true, Token: 5}, false,
+			State{Acknowledged: true, Incarnation: "i2"}, Evidence{Inventory: empty, ChecksTokens: true, Token: 5}, false,
 		},
 		"adopted, writer settled, fenced": {
-			State{}, Evidence{Inventory: empty, ChecksTokens: true, Token: 5, Settled: 1}, true,
+			State{}, Evidence{Inventory: empty, ChecksTokens: true, Token: 5, Resolved: 1}, true,
 		},
 		"adopted, writer settled, token not raised yet": {
-			State{}, Evidence{Inventory: empty, ChecksTokens: true, Token: 6, Settled: time.Second}, false,
+			State{}, Evidence{Inventory: empty, ChecksTokens: true, Token: 6, Resolved: time.Second}, false,
 		},
 		"adopted, writer settled just now, tokens ignored": {
-			State{}, Evidence{Inventory: empty, Token: 5, Settled: time.Second}, false,
+			State{}, Evidence{Inventory: empty, Token: 5, Resolved: time.Second}, false,
 		},
 		"adopted, writer settled long ago, tokens ignored": {
-			State{}, Evidence{Inventory: empty, Token: 5, Settled: long}, true,
+			State{}, Evidence{Inventory: empty, Token: 5, Resolved: long}, true,
 		},
-		"target gone": {State{Doubt: now}, Evidence{TargetGone: true}, true},
+		"target gone": {State{InDoubtSince: now}, Evidence{TargetGone: true}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := &Row{Key: Key{"t", "m"}, State: tc.state}
