--- a/internal/placement/cell/failure_test.go
+++ b/internal/placement/cell/failure_test.go
@@ -21,9 +21,10 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/record"
 )
 
-// takeOverBound is how long a take-over after a death may take: the lease's
-// duration with its margin, a look, the second candidate's wait and the write.
-const takeOverBound = 4500 * time.Millisecond
+// failoverBound is how long a failover may take: the lease's duration with its
+// margin for clock drift, a poll interval, the second candidate's stagger and
+// the write.
+const failoverBound = 4500 * time.Millisecond
 
 // failures are the single failures of a holder, an engine or the platform.
 // Each case runs with engines that check fencing tokens and with engines that
@@ -33,9 +34,9 @@
 	run  func(t *testing.T, w *world)
 }{
 	{"holder killed between ledger write and order", func(t *testing.T, w *world) {
-		// A caller waits for a cold model. The holder writes the ledger row
-		// and dies before it sends the order. The row counts a replica that
-		// no engine has heard of; the successor must order it.
+		// A request waits for a cold model. The holder writes the ledger row
+		// and dies before it sends the order. The row counts a replica that no
+		// engine has received an order for; the successor must order it.
 		var once sync.Once
 
 		w.hookCommit(func(p *proc, tx table.Transaction) {
@@ -46,12 +47,12 @@
 
 		took, ok := w.reportUntilReady(modelName(0), 20*time.Second)
 		assert.Assert(t, ok, w.state())
-		assert.Assert(t, took < takeOverBound+5*time.Second, "took %s", took)
+		assert.Assert(t, took < failoverBound+5*time.Second, "took %s", took)
 		assert.Equal(t, w.loaded(modelName(0)), 1)
 	}},
 	{"holder killed between order and confirmation", func(t *testing.T, w *world) {
-		// The engine loads, but whoever ordered it has died. The successor
-		// must find the replica, and not load another.
+		// The holder dies while the engine loads. The successor must adopt the
+		// replica and not load another.
 		w.weights.Slow(10)
 		w.reportWaiting(modelName(0))
 		time.Sleep(100 * time.Millisecond)
@@ -61,10 +62,11 @@
 		assert.Assert(t, ok, w.state())
 		assert.Equal(t, w.loaded(modelName(0)), 1)
 	}},
-	{"holder paused past its lease with an order in hand", func(t *testing.T, w *world) {
+	{"holder paused past its lease before it sends an order", func(t *testing.T, w *world) {
 		// The holder has checked its lease and is about to send a load order
-		// when its process is paused for ten seconds. A successor loads what
-		// is asked for. Then the former holder wakes and its order arrives.
+		// when its process is paused for ten seconds. A successor loads the
+		// requested models. Then the former holder resumes and its order
+		// arrives.
 		var once sync.Once
 
 		w.hook(func(p *proc, o target.Order) {
@@ -81,7 +83,7 @@
 		time.Sleep(50 * time.Millisecond)
 
 		took, ok := w.awaitHolder(before, 20*time.Second)
-		assert.Assert(t, ok && took < takeOverBound, "take-over took %s", took)
+		assert.Assert(t, ok && took < failoverBound, "failover took %s", took)
 
 		for i := range 4 {
 			w.reportUntilReady(modelName(i), 15*time.Second)
@@ -89,34 +91,36 @@
 
 		time.Sleep(40 * time.Second)
 	}},
-	{"table answer lost after the write took effect", func(t *testing.T, w *world) {
-		// The ledger row is written, but the holder does not hear so. It must
-		// neither order without knowing nor take the row for somebody else's.
+	{"store answer lost after the write took effect", func(t *testing.T, w *world) {
+		// The ledger row is written, but the answer does not arrive. The holder
+		// must send no order while the write is in doubt, and must not take the
+		// row for another holder's.
 		w.platform.SetFaults(platform.Faults{LoseAnswers: 3})
 
 		took, ok := w.reportUntilReady(modelName(0), 10*time.Second)
 		assert.Assert(t, ok, w.state())
 		assert.Assert(t, took < 3*time.Second, "took %s", took)
-		assert.Equal(t, w.holder().Takeovers.Load(), int64(1), "the holder must not lose its lease over it")
+		assert.Equal(t, w.holder().Takeovers.Load(), int64(1), "a lost answer must not cost the holder its lease")
 	}},
-	{"table down during take-over", func(t *testing.T, w *world) {
-		// The holder dies while the table is down for a minute. Nobody can
-		// take over before it is back; then somebody must, soon.
+	{"store down during failover", func(t *testing.T, w *world) {
+		// The holder dies while the store is down for a minute. No process can
+		// take over before the store is available again; then one must, soon.
 		w.kill(w.holder())
 		w.platform.SetFaults(platform.Faults{TableDown: true})
 		time.Sleep(time.Minute)
 		w.platform.SetFaults(platform.Faults{})
 
 		took, ok := w.awaitHolder(1, 20*time.Second)
-		assert.Assert(t, ok && took < takeOverBound, "take-over took %s", took)
+		assert.Assert(t, ok && took < failoverBound, "failover took %s", took)
 
 		_, ok = w.reportUntilReady(modelName(0), 10*time.Second)
 		assert.Assert(t, ok, w.state())
 	}},
 	{"two successors race", func(t *testing.T, w *world) {
-		// The holder dies and each other process believes to be the first
-		// candidate, because it has not heard of the other. Both see the lease
-		// expire. One must win, and the other must not order anything.
+		// The holder dies, and each of the other two processes ranks itself as
+		// the first candidate, because it receives no heartbeats of the other.
+		// Both see the lease expire. One must acquire it, and the other must
+		// not send any order.
 		first := w.holder()
 		w.kill(first)
 		w.loseHeartbeats(10 * time.Second)
@@ -137,9 +141,9 @@
 		assert.Equal(t, holders, 1)
 	}},
 	{"engine restarted mid-load", func(t *testing.T, w *world) {
-		// An engine's process dies while it loads and comes back empty. The
-		// waiting caller must get the model, and the row of the lost load
-		// must not hold memory for ever.
+		// The engine's process restarts during a load and holds no models
+		// afterwards. The waiting request must get its model, and the row of
+		// the lost load must not reserve memory for ever.
 		w.weights.Slow(10)
 		w.reportWaiting(modelName(0))
 		time.Sleep(200 * time.Millisecond)
@@ -154,8 +158,9 @@
 		assert.Assert(t, ok, w.state())
 	}},
 	{"order answered twice and late", func(t *testing.T, w *world) {
-		// Orders reach the engines three seconds late, after their sender has
-		// given up and sent them again. Each must be carried out once.
+		// Orders reach the engines three seconds late, after the holder's
+		// attempt has timed out and it has sent them again. Each must be carried
+		// out once.
 		for _, e := range w.engines {
 			e.SetFaults(engine.Faults{LateOrders: 3 * time.Second})
 		}
@@ -165,10 +170,10 @@
 		time.Sleep(10 * time.Second)
 		assert.Assert(t, w.loaded(modelName(0)) <= 1)
 	}},
-	{"orders answered in the wrong order", func(t *testing.T, w *world) {
-		// Two loads go to one engine at once. The answer to the second is
-		// handled first; the answer to the first shows an inventory from
-		// before the second. The second's row must stay counted.
+	{"answers to orders overtake each other", func(t *testing.T, w *world) {
+		// Two loads are ordered from one engine at once. The answer to the
+		// second is handled first; the answer to the first has an inventory from
+		// before the second load. The second row must stay counted.
 		w.jitter.Store(int64(400 * time.Millisecond))
 
 		for round := range 6 {
@@ -177,9 +182,9 @@
 		}
 	}},
 	{"target reclaimed mid-load", func(t *testing.T, w *world) {
-		// The list says that the loading target is leaving, and two seconds
-		// later it is gone. The model must be loaded on another target at
-		// once, while the row of the lost load is still counted.
+		// The instance list reports that the loading target is leaving, and two
+		// seconds later the target is gone. The model must be loaded on another
+		// target at once, while the row of the lost load is still counted.
 		w.weights.Slow(10)
 		w.reportWaiting(modelName(0))
 		time.Sleep(200 * time.Millisecond)
@@ -200,8 +205,8 @@
 		assert.Assert(t, ok, w.state())
 	}},
 	{"weight store slowed tenfold", func(t *testing.T, w *world) {
-		// Loads take ten times as long. No more than four may run at once, or
-		// all become slower still.
+		// Loads take ten times as long. No more than four may run at once;
+		// further ones would slow all of them down.
 		w.weights.Slow(10)
 
 		for range 20 {
@@ -237,7 +242,7 @@
 	}
 }
 
-// loaded returns on how many engines the model is ready.
+// loaded returns the number of engines on which the model is ready.
 func (w *world) loaded(model string) int {
 	n := 0
 
@@ -250,6 +255,7 @@
 	return n
 }
 
+// loadingOn returns an engine whose inventory shows the model, or nil.
 func (w *world) loadingOn(model string) *engine.Engine {
 	for _, e := range w.engines {
 		inv, err := e.Inventory(w.t.Context())
@@ -267,17 +273,17 @@
 	return nil
 }
 
-// loseHeartbeats makes the processes hear nothing of each other for a while.
+// loseHeartbeats drops all heartbeats for d.
 func (w *world) loseHeartbeats(d time.Duration) {
 	w.heartbeatsLost.Store(true)
 	time.AfterFunc(d, func() { w.heartbeatsLost.Store(false) })
 }
 
-// TestLapsedHolder is the story of a holder that the table service has left
-// alone: its lease lapses, and it cannot know whether there is a successor.
-// Callers wait for a cold model. It must not order the load, and the callers
-// must learn why, rather than wait until their time is up.
-func TestLapsedHolder(t *testing.T) {
+// TestExpiredHolder: the store is down, so the holder cannot renew its lease nor
+// find out whether there is a successor, while requests wait for a cold model.
+// It must not order the load, and must publish the reason, so that the requests
+// are refused with it instead of waiting until their deadline.
+func TestExpiredHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 2, modelCount, false)
 		p := w.start("entry-0")
@@ -290,7 +296,7 @@
 		w.platform.SetFaults(platform.Faults{TableDown: true})
 		time.Sleep(4 * time.Second)
 
-		lapsed := time.Now()
+		expired := time.Now()
 
 		w.reportWaiting(modelName(1))
 		time.Sleep(500 * time.Millisecond)
@@ -298,24 +304,23 @@
 		wait, ok := p.table.Wait(modelName(1))
 		assert.Assert(t, ok)
 		assert.Equal(t, wait.Reason, reasonNoLease)
-		assert.Assert(t, len(p.table.Targets(modelName(0))) > 0, "what is loaded is still served")
+		assert.Assert(t, len(p.table.Targets(modelName(0))) > 0, "loaded models are still served")
 
 		time.Sleep(30 * time.Second)
-		assert.Equal(t, len(w.ordersBy(p.id, lapsed)), 0)
+		assert.Equal(t, len(w.ordersBy(p.id, expired)), 0)
 
-		// An hour later the table is back, and so is the cell.
+		// An hour later the store is available again, and the cell recovers.
 		time.Sleep(time.Hour)
 		w.platform.SetFaults(platform.Faults{})
 
 		_, ok = w.reportUntilReady(modelName(1), 10*time.Second)
 		assert.Assert(t, ok, w.state())
-		w.assertNoViolations("after an hour without the table")
+		w.assertNoViolations("after an hour without the store")
 	})
 }
 
-// TestPlannedHandOver is the story of an upgrade: the holder is told to drain.
-// Another process must hold the cell within a second, not only after the lease
-// has run out.
+// TestPlannedHandOver drains the holder, as an upgrade does. Another process
+// must hold the cell within a second, not only after the lease has expired.
 func TestPlannedHandOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 2, modelCount, true)
@@ -328,19 +333,19 @@
 		time.Sleep(5 * time.Second)
 
 		former, token := w.holder(), w.token()
-		began := time.Now()
+		start := time.Now()
 
 		former.Drain(t.Context())
 
 		_, ok := w.awaitHolder(token, 5*time.Second)
 		assert.Assert(t, ok)
-		assert.Assert(t, time.Since(began) < time.Second, "took %s", time.Since(began))
+		assert.Assert(t, time.Since(start) < time.Second, "took %s", time.Since(start))
 		assert.Assert(t, w.holder() != former)
 	})
 }
 
-// TestBurst is the story of a morning: eight entries each have callers waiting
-// for the same cold model. One load must serve them all.
+// TestBurst: requests for the same cold model wait at eight entries. One load
+// must serve them all, and it must be ordered at once.
 func TestBurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3, modelCount, true)
@@ -350,7 +355,7 @@
 
 		time.Sleep(3 * time.Second)
 
-		began := time.Now()
+		start := time.Now()
 
 		for i := range 8 {
 			assert.NilError(t, p.Report(demand.Report{
@@ -363,16 +368,16 @@
 
 		time.Sleep(400 * time.Millisecond)
 
-		loads := w.ordersBy(p.id, began)
+		loads := w.ordersBy(p.id, start)
 		assert.Equal(t, len(loads), 1, "one load for all: %v", loads)
-		assert.Assert(t, loads[0].at.Sub(began) < 5*time.Millisecond, "ordered after %s", loads[0].at.Sub(began))
+		assert.Assert(t, loads[0].at.Sub(start) < 5*time.Millisecond, "ordered after %s", loads[0].at.Sub(start))
 	})
 }
 
-// TestQuietBeforeUnload is the story of a request that is sent to a replica
-// just as the holder retires it. The replica must stay until every entry has
-// taken it out of its routing and none has a request running there.
-func TestQuietBeforeUnload(t *testing.T) {
+// TestNoUnloadUnderRequest: a request is sent to a replica while the holder
+// retires it. The replica must stay until every entry has removed it from its
+// routing and none has a request running on it.
+func TestNoUnloadUnderRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1, modelCount, true)
 		p := w.start("entry-0")
@@ -386,8 +391,8 @@
 
 		use := demand.Use{Key: ledger.Key{Target: "engine-0", Model: modelName(0)}, Running: 1}
 
-		// The entry goes on with its request for a minute, far beyond the
-		// time for which an idle replica is kept.
+		// The request runs for a minute, much longer than an idle replica is
+		// kept.
 		for range 60 {
 			at := p.table.Position(0)
 			_ = p.Report(demand.Report{Entry: "entry-x", Token: at.Token, Number: at.Number, Uses: []demand.Use{use}})
@@ -404,14 +409,13 @@
 			time.Sleep(time.Second)
 		}
 
-		assert.Equal(t, w.loaded(modelName(0)), 0, "an idle replica must go")
-		w.assertNoViolations("quiet before unload")
+		assert.Equal(t, w.loaded(modelName(0)), 0, "an idle replica must be unloaded")
+		w.assertNoViolations("no unload under a request")
 	})
 }
 
-// TestRebalance is the story of an instance that comes back after a failure:
-// the cell it ranks first for returns to it, but only after it has been there
-// for a while.
+// TestRebalance restarts an instance that ranks first for the cell. The lease
+// must be handed back to it, but only after rebalanceAfter.
 func TestRebalance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1, 1, true)
@@ -421,15 +425,15 @@
 
 		defer w.stopAll()
 
-		// Whoever took it first, before all knew of each other, has handed it to
-		// the instance that ranks first by then.
+		// By then the first holder, which may have acquired the lease before all
+		// instances were known, has handed it over to the one that ranks first.
 		time.Sleep(2 * rebalanceAfter)
 
 		first := w.holder()
 		token := w.token()
 		w.kill(first)
 
-		_, ok := w.awaitHolder(token, takeOverBound)
+		_, ok := w.awaitHolder(token, failoverBound)
 		assert.Assert(t, ok)
 
 		w.start(first.id)
@@ -464,11 +468,11 @@
 	assert.Assert(t, moved < names/cells*5/4, "%d moved for one more cell", moved)
 }
 
-// TestNoOrderAfterLapse is the story of an order that gets no answer and is
-// sent again and again, while the holder cannot renew its lease: once that has
-// lapsed, a successor may decide, and an engine that ignores tokens would carry
-// out both. Not one more order may go out.
-func TestNoOrderAfterLapse(t *testing.T) {
+// TestNoOrderAfterExpiry: an order gets no answer and is sent again at
+// intervals, while the holder cannot renew its lease. Once the lease has
+// expired, a successor may send orders, and an engine that ignores tokens would
+// carry out both holders' orders. The holder must send no more.
+func TestNoOrderAfterExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1, modelCount, false)
 		p := w.start("entry-0")
@@ -485,11 +489,11 @@
 
 		time.Sleep(p.cfg.Terms.Duration)
 
-		lapsed := time.Now()
+		expired := time.Now()
 
-		assert.Assert(t, len(w.ordersBy(p.id, before)) > 0, "the order was sent again while the lease lasted")
+		assert.Assert(t, len(w.ordersBy(p.id, before)) > 0, "the order must be sent again while the lease is valid")
 		time.Sleep(time.Minute)
-		assert.Equal(t, len(w.ordersBy(p.id, lapsed)), 0)
+		assert.Equal(t, len(w.ordersBy(p.id, expired)), 0)
 		w.engines[0].SetFaults(engine.Faults{})
 		time.Sleep(5 * time.Minute)
 	})
--- a/internal/placement/cell/gate_test.go
+++ b/internal/placement/cell/gate_test.go
@@ -12,7 +12,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/standin/pause"
 )
 
-// gatedTable delays a paused process's calls until it wakes.
+// gatedTable delays the calls of a paused process until it is resumed.
 type gatedTable struct {
 	table.Service
 
@@ -54,8 +54,8 @@
 	return version, err
 }
 
-// gatedEngine delays a paused process's orders until it wakes, and bounds
-// calls as the client over TCP does.
+// gatedEngine delays the calls of a paused process until it is resumed, and
+// limits the time of orders as the TCP client does.
 type gatedEngine struct {
 	target.Engine
 
@@ -91,22 +91,22 @@
 	return inv, err
 }
 
-// delay takes the time of a message on its way, which its name determines.
+// delay sleeps for a message's network delay, which its name determines.
 func (w *world) delay(name string) {
 	if jitter := w.jitter.Load(); jitter > 0 {
 		time.Sleep(time.Duration(xxhash.Sum64String(name) % uint64(jitter)))
 	}
 }
 
-// ordersBy returns the orders that the process sent from the time on.
-func (w *world) ordersBy(id instance.ID, after time.Time) []sentOrder {
+// ordersBy returns the orders that the process has sent since the given time.
+func (w *world) ordersBy(id instance.ID, since time.Time) []sentOrder {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
 	var out []sentOrder
 
 	for _, o := range w.orders {
-		if o.by == id && !o.at.Before(after) {
+		if o.by == id && !o.at.Before(since) {
 			out = append(out, o)
 		}
 	}
--- a/internal/placement/cell/history.go
+++ b/internal/placement/cell/history.go
@@ -15,7 +15,8 @@
 	uses history.Book
 	// loaded says that the stored history was read, or that there is none.
 	loaded bool
-	// candidateModels are the models that are worth a look, as of lookedAt.
+	// candidateModels are the models that may be worth loading ahead of use, as
+	// of candidatesAt.
 	candidateModels []string
 	candidatesAt    time.Time
 }
@@ -31,8 +32,9 @@
 	// object store, as one object.
 	historyWriteEvery = 5 * time.Minute
 	// longestLoad and smallestAcceleratorShare give the lowest rate of use that
-	// makes a model a candidate: one at which even a model that takes this long
-	// to load and this small a share of an accelerator is not worth loading.
+	// makes a model a candidate. At any lower rate, even a model that takes this
+	// long to load and occupies this small a share of an accelerator is not
+	// worth loading ahead.
 	longestLoad = 2 * time.Minute
 	// smallestAcceleratorShare is a fraction of one accelerator.
 	smallestAcceleratorShare = 0.01
--- a/internal/placement/cell/schedule_test.go
+++ b/internal/placement/cell/schedule_test.go
@@ -16,7 +16,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/standin/platform"
 )
 
-// incident is one thing that goes wrong in a schedule.
+// incident is one fault that a schedule injects.
 type incident struct {
 	name string
 	run  func(w *world, rng *rand.Rand)
@@ -38,11 +38,11 @@
 	{"pause the holder past its lease", func(w *world, rng *rand.Rand) {
 		if p := w.holder(); p != nil {
 			p.gate.Close()
-			time.AfterFunc(3*time.Second+rand64(rng, 6*time.Second), p.gate.Open)
+			time.AfterFunc(3*time.Second+randomDuration(rng, 6*time.Second), p.gate.Open)
 		}
 	}},
-	{"pause the holder with an order in hand", func(w *world, rng *rand.Rand) {
-		d := 4*time.Second + rand64(rng, 8*time.Second)
+	{"pause the holder before it sends an order", func(w *world, rng *rand.Rand) {
+		d := 4*time.Second + randomDuration(rng, 8*time.Second)
 
 		var once sync.Once
 
@@ -53,21 +53,21 @@
 			})
 		})
 	}},
-	{"lose answers of the table", func(w *world, rng *rand.Rand) {
+	{"lose answers of the store", func(w *world, rng *rand.Rand) {
 		w.platform.SetFaults(platform.Faults{LoseAnswers: 1 + rng.IntN(4), ListLag: time.Second})
 	}},
-	{"stop the table", func(w *world, rng *rand.Rand) {
+	{"stop the store", func(w *world, rng *rand.Rand) {
 		w.platform.SetFaults(platform.Faults{TableDown: true})
-		time.AfterFunc(rand64(rng, 6*time.Second), func() { w.platform.SetFaults(platform.Faults{}) })
+		time.AfterFunc(randomDuration(rng, 6*time.Second), func() { w.platform.SetFaults(platform.Faults{}) })
 	}},
-	{"slow the table", func(w *world, rng *rand.Rand) {
-		w.platform.SetFaults(platform.Faults{TableDelay: rand64(rng, time.Second)})
+	{"slow the store", func(w *world, rng *rand.Rand) {
+		w.platform.SetFaults(platform.Faults{TableDelay: randomDuration(rng, time.Second)})
 		time.AfterFunc(4*time.Second, func() { w.platform.SetFaults(platform.Faults{}) })
 	}},
 	{"crash an engine", func(w *world, rng *rand.Rand) { w.engines[rng.IntN(len(w.engines))].Crash() }},
 	{"delay orders", func(w *world, rng *rand.Rand) {
 		e := w.engines[rng.IntN(len(w.engines))]
-		e.SetFaults(engine.Faults{LateOrders: rand64(rng, 5*time.Second)})
+		e.SetFaults(engine.Faults{LateOrders: randomDuration(rng, 5*time.Second)})
 		time.AfterFunc(5*time.Second, func() { e.SetFaults(engine.Faults{}) })
 	}},
 	{"fail loads", func(w *world, rng *rand.Rand) {
@@ -86,18 +86,18 @@
 	{"slow the weight store tenfold", func(w *world, _ *rand.Rand) { w.weights.Slow(10) }},
 }
 
-func rand64(rng *rand.Rand, most time.Duration) time.Duration {
-	return time.Duration(rng.Int64N(int64(most)))
+func randomDuration(rng *rand.Rand, limit time.Duration) time.Duration {
+	return time.Duration(rng.Int64N(int64(limit)))
 }
 
-// schedules is how many seeded schedules run. The race detector makes each
-// many times slower.
+// schedules is how many seeded schedules run. Under the race detector, which
+// makes each many times slower, a twentieth of them runs.
 const schedules = 1000
 
 const modelCount = 6
 
-// runSchedule brings about mishaps in a seeded order and at seeded times while
-// models are asked for. Both sums are checked after every change on an engine.
+// runSchedule injects incidents in a seeded order and at seeded times while
+// requests wait for models. world.check runs after every change on an engine.
 func runSchedule(t *testing.T, seed uint64, checksTokens bool, only ...string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -113,7 +113,7 @@
 
 		time.Sleep(3 * time.Second)
 
-		story := fmt.Sprintf("seed %d, tokens checked %v:", seed, checksTokens)
+		schedule := fmt.Sprintf("seed %d, tokens checked %v:", seed, checksTokens)
 
 		for range 3 + rng.IntN(4) {
 			m := incidents[rng.IntN(len(incidents))]
@@ -121,25 +121,25 @@
 				m = incidentNamed(only[rng.IntN(len(only))])
 			}
 
-			story += " " + m.name + ";"
+			schedule += " " + m.name + ";"
 			m.run(w, rng)
 
 			for range 1 + rng.IntN(6) {
 				w.reportWaiting(modelName(rng.IntN(modelCount)), modelName(rng.IntN(modelCount)))
-				time.Sleep(rand64(rng, 1200*time.Millisecond))
+				time.Sleep(randomDuration(rng, 1200*time.Millisecond))
 			}
 
-			w.assertNoViolations(story)
+			w.assertNoViolations(schedule)
 		}
 
-		// When everything works again, so must the cell.
+		// Once the faults have ended, the cell must recover.
 		w.platform.SetFaults(platform.Faults{})
 		w.weights.Slow(1)
 		time.Sleep(25 * time.Second)
 
 		_, ok := w.reportUntilReady(modelName(0), time.Minute)
-		assert.Assert(t, ok, "%s the cell did not recover: %s", story, w.state())
-		w.assertNoViolations(story)
+		assert.Assert(t, ok, "%s the cell did not recover: %s", schedule, w.state())
+		w.assertNoViolations(schedule)
 	})
 }
 
@@ -153,10 +153,10 @@
 	panic(name)
 }
 
-// TestSchedules is the story of two or more mishaps at once: whatever dies,
-// pauses or answers late, and in whichever order, an operator must never see
-// more replicas loaded than were decided, or an instance's memory
-// overcommitted, and the cell must recover by itself.
+// TestSchedules injects several faults at once: processes and engines that die,
+// pause or answer late, in random order. No replica may be loaded that the
+// ledger does not count, no engine's memory may be overcommitted, and the cell
+// must recover by itself.
 func TestSchedules(t *testing.T) {
 	const chunks = 16
 
--- a/internal/placement/cell/term.go
+++ b/internal/placement/cell/term.go
@@ -49,7 +49,7 @@
 	history      modelHistory
 	// granter divides the loads between the cells, if this is the first cell.
 	granter share.Granter
-	// granted is this cell's, until partUntil.
+	// granted is this cell's share of the loads, valid until grantedUntil.
 	granted      share.Amount
 	grantedUntil time.Time
 	// publishNow makes the next round publish, even before publishEvery.
--- a/internal/placement/cell/world_test.go
+++ b/internal/placement/cell/world_test.go
@@ -34,7 +34,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/record"
 )
 
-// world is a platform, a few engines and processes that control one cell,
+// world is a platform, several engines and the processes that control one cell,
 // inside a synctest bubble.
 type world struct {
 	t        *testing.T
@@ -44,13 +44,13 @@
 	checks   bool
 
 	// beforeOrder runs when a process has checked its lease and is about to
-	// send an order; afterCommit runs when a transaction took effect and its
-	// answer is on its way.
+	// send an order; afterCommit runs when a transaction has taken effect and
+	// its answer has not arrived yet.
 	beforeOrder func(p *proc, o target.Order)
 	afterCommit func(p *proc, tx table.Transaction)
-	// jitter bounds the time that an order and its answer take on the way.
+	// jitter bounds the network delay of an order and of its answer.
 	jitter atomic.Int64 // jitter is a time.Duration.
-	// heartbeatsLost makes heartbeats get lost.
+	// heartbeatsLost says that no heartbeat arrives.
 	heartbeatsLost atomic.Bool
 
 	mu         sync.Mutex
@@ -59,7 +59,7 @@
 	orders     []sentOrder
 }
 
-// sentOrder is an order that went out.
+// sentOrder is an order that a process has sent.
 type sentOrder struct {
 	target.Order
 
@@ -67,7 +67,7 @@
 	at time.Time
 }
 
-// proc is one process that may hold the cell.
+// proc is one process that may hold the cell's lease.
 type proc struct {
 	*Cell
 
@@ -86,7 +86,7 @@
 
 func modelName(i int) string { return fmt.Sprintf("model-%d", i) }
 
-// newWorld makes engines with room for two models each.
+// newWorld returns a world with engines that have memory for two models each.
 func newWorld(t *testing.T, engines, models int, checksTokens bool) *world {
 	t.Helper()
 
@@ -114,7 +114,7 @@
 	return w
 }
 
-// check runs after every change of what an engine holds: the bytes must fit
+// check runs whenever an engine's resident models change: their bytes must fit
 // its memory, and each replica must be counted by the ledger.
 func (w *world) check(id instance.ID, held []target.Held, memory int64) {
 	var sum int64
@@ -147,7 +147,7 @@
 	assert.Equal(w.t, len(w.violations), 0, "%s: %v", context, w.violations)
 }
 
-// start runs a process on the instance. Its peers hear of it by heartbeats.
+// start runs a process on the instance. Its peers detect it by its heartbeats.
 func (w *world) start(id instance.ID) *proc {
 	w.mu.Lock()
 	number := len(w.procs)
@@ -195,7 +195,7 @@
 	return p
 }
 
-// hook makes f run before each order.
+// hook sets beforeOrder.
 func (w *world) hook(f func(p *proc, o target.Order)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -203,7 +203,7 @@
 	w.beforeOrder = f
 }
 
-// hookCommit makes f run after each commit.
+// hookCommit sets afterCommit.
 func (w *world) hookCommit(f func(p *proc, tx table.Transaction)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -218,7 +218,7 @@
 	return w.beforeOrder, w.afterCommit
 }
 
-// running returns the processes that live.
+// running returns the live processes.
 func (w *world) running() []*proc {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -264,8 +264,8 @@
 	return p.table.Apply(s, time.Now()), ctx.Err()
 }
 
-// heartbeat reads the list and tells all others how the process is, as long as it
-// lives and is not paused.
+// heartbeat reads the instance list and sends the process's status to all
+// others, as long as the process lives and is not paused.
 func (w *world) heartbeat(ctx context.Context, p *proc) {
 	for ctx.Err() == nil {
 		if p.gate.Wait(ctx) != nil {
@@ -299,7 +299,8 @@
 	}
 }
 
-// kill ends the process at once. What it was about to send is never sent.
+// kill ends the process at once. Requests that it was about to send are not
+// sent.
 func (w *world) kill(p *proc) {
 	w.mu.Lock()
 	for i, o := range w.procs {
@@ -348,7 +349,7 @@
 	return best
 }
 
-// reportWaiting reports to the holder that an entry waits for the models.
+// reportWaiting reports to the holder that requests wait for the models.
 func (w *world) reportWaiting(models ...string) {
 	p := w.holder()
 	if p == nil {
@@ -365,42 +366,42 @@
 	_ = p.Report(r)
 }
 
-// reportUntilReady asks again and again until the model is ready somewhere, and
-// returns how long that took.
-func (w *world) reportUntilReady(model string, patience time.Duration) (time.Duration, bool) {
-	began := time.Now()
+// reportUntilReady reports demand for the model until an engine has it ready,
+// and returns how long that took.
+func (w *world) reportUntilReady(model string, timeout time.Duration) (time.Duration, bool) {
+	start := time.Now()
 
-	for time.Since(began) < patience {
+	for time.Since(start) < timeout {
 		w.reportWaiting(model)
 
 		for _, e := range w.engines {
 			if e.Holds(model) {
-				return time.Since(began), true
+				return time.Since(start), true
 			}
 		}
 
 		time.Sleep(5 * time.Millisecond)
 	}
 
-	return patience, false
+	return timeout, false
 }
 
-// awaitHolder waits for a process that holds the cell with a token above the
+// awaitHolder waits for a process that holds the lease with a token above the
 // given one.
-func (w *world) awaitHolder(above uint64, patience time.Duration) (time.Duration, bool) {
-	began := time.Now()
+func (w *world) awaitHolder(above uint64, timeout time.Duration) (time.Duration, bool) {
+	start := time.Now()
 
-	for time.Since(began) < patience {
+	for time.Since(start) < timeout {
 		if p := w.holder(); p != nil {
 			if l, _ := p.Lease(); l.Token > above {
-				return time.Since(began), true
+				return time.Since(start), true
 			}
 		}
 
 		time.Sleep(5 * time.Millisecond)
 	}
 
-	return patience, false
+	return timeout, false
 }
 
 func (w *world) token() uint64 {
@@ -415,11 +416,11 @@
 
 func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, seed)) }
 
-// state describes the holder's view, for failures.
+// state describes the holder's state, for failure messages.
 func (w *world) state() string {
 	p := w.holder()
 	if p == nil {
-		return "nobody holds the cell"
+		return "no process holds the cell"
 	}
 
 	p.mu.Lock()
--- a/internal/placement/lease/lease_test.go
+++ b/internal/placement/lease/lease_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestOneHolder is the story of a holder whose clock runs slow and a rival
-// whose clock runs fast, each within the allowed rate: an operator would see
-// two entries order loads in one cell. Whenever the rival may take the lease,
-// the holder must already have stopped counting on it.
+// TestOneHolder: the holder's clock runs slow and a candidate's clock runs fast,
+// each within the allowed drift. Without the margin both would hold the lease
+// and order loads in one cell. Whenever the candidate may acquire the lease, it
+// must have expired for the holder.
 func TestOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		terms := DefaultTerms()
@@ -23,8 +23,8 @@
 			return start.Add(time.Duration(rate * float64(passed)))
 		}
 
-		// The renewal is sent at zero and takes effect later; the rival sees
-		// the new version later still.
+		// The renewal is sent at zero and takes effect later; the candidate
+		// reads the new version later still.
 		effect := time.Duration(rapid.IntRange(0, 2000).Draw(t, "effect")) * time.Millisecond
 		seen := effect + time.Duration(rapid.IntRange(0, 2000).Draw(t, "seen"))*time.Millisecond
 
@@ -35,7 +35,7 @@
 		w.Observe(7, h.Record, on(fast, seen))
 
 		for passed := seen; passed < 10*time.Second; passed += 10 * time.Millisecond {
-			if w.Free(on(fast, passed), terms, "rival", 0) && h.Valid(on(slow, passed), terms) {
+			if w.Free(on(fast, passed), terms, "candidate", 0) && h.Valid(on(slow, passed), terms) {
 				t.Fatalf("both hold it after %s", passed)
 			}
 		}
@@ -53,19 +53,19 @@
 		rank    int
 		from    time.Time
 	}{
-		"nobody has held it":               {0, Record{}, 0, ms(0)},
-		"the second candidate waits":       {0, Record{}, 1, ms(300)},
-		"held":                             {3, Record{Holder: "a"}, 0, ms(3060)},
-		"held, third candidate":            {3, Record{Holder: "a"}, 2, ms(3660)},
-		"released to me":                   {3, Record{Released: true, Successor: "me"}, 2, ms(0)},
-		"released to another":              {3, Record{Released: true, Successor: "you"}, 0, ms(1300)},
-		"released to another, rank one":    {3, Record{Released: true, Successor: "you"}, 1, ms(1600)},
-		"released to nobody in particular": {3, Record{Released: true}, 0, ms(1300)},
+		"never held":                   {0, Record{}, 0, ms(0)},
+		"never held, second candidate": {0, Record{}, 1, ms(300)},
+		"held":                         {3, Record{Holder: "a"}, 0, ms(3060)},
+		"held, third candidate":        {3, Record{Holder: "a"}, 2, ms(3660)},
+		"released to this instance":    {3, Record{Released: true, Successor: "me"}, 2, ms(0)},
+		"released to another":          {3, Record{Released: true, Successor: "you"}, 0, ms(1300)},
+		"released to another, second":  {3, Record{Released: true, Successor: "you"}, 1, ms(1600)},
+		"released without a successor": {3, Record{Released: true}, 0, ms(1300)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var w Watch
 
-			assert.Assert(t, !w.Free(now, terms, "me", tc.rank), "nothing was seen yet")
+			assert.Assert(t, !w.Free(now, terms, "me", tc.rank), "the lease was not observed yet")
 			w.Observe(tc.version, tc.record, now)
 			assert.Assert(t, w.Free(tc.from, terms, "me", tc.rank))
 
@@ -73,7 +73,7 @@
 				assert.Assert(t, !w.Free(tc.from.Add(-2*time.Millisecond), terms, "me", tc.rank))
 			}
 
-			// A renewal starts the wait anew.
+			// A renewal restarts the wait.
 			w.Observe(tc.version+1, Record{Holder: "a"}, tc.from)
 			assert.Assert(t, !w.Free(tc.from, terms, "me", tc.rank))
 		})
--- a/internal/placement/ledger/ledger.go
+++ b/internal/placement/ledger/ledger.go
@@ -110,23 +110,23 @@
 	targets map[instance.ID][]*Row
 }
 
-// Reserve adds a row, unless its key is counted already or its bytes exceed
-// the target's memory.
+// Reserve adds a row. It fails if the key is already counted, or if the
+// target's rows would exceed its memory.
 func (b *Book) Reserve(r Row, memory int64) (*Row, error) {
 	if b.rows[r.Key] != nil {
 		return nil, &DuplicateError{Key: r.Key}
 	}
 
-	if held := b.usedBytes[r.Target]; held+r.Bytes > memory {
-		return nil, &OvercommitError{Key: r.Key, Used: held, Memory: memory}
+	if used := b.usedBytes[r.Target]; used+r.Bytes > memory {
+		return nil, &OvercommitError{Key: r.Key, Used: used, Memory: memory}
 	}
 
 	return b.Adopt(r), nil
 }
 
-// Adopt adds a row that already exists, whether it fits or not: one found in
-// the store, or for a replica found on an engine. If its key is counted, Adopt
-// returns the counted row.
+// Adopt adds a row, whether it fits or not, for a replica that is or may be
+// loaded already: one whose row was found in the store, or one found on an
+// engine. If the key is already counted, Adopt returns the counted row.
 func (b *Book) Adopt(r Row) *Row {
 	if counted := b.rows[r.Key]; counted != nil {
 		return counted
--- a/internal/placement/ledger/ledger_test.go
+++ b/internal/placement/ledger/ledger_test.go
@@ -13,20 +13,20 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/target"
 )
 
-// TestBookAgainstNaive runs random reservations, adoptions and removals
-// against a plain list, and checks both sums after each.
-func TestBookAgainstNaive(t *testing.T) {
+// TestAgainstReference runs random reservations, adoptions and removals on a
+// Book and on a plain map, and compares the counts and sums after each.
+func TestAgainstReference(t *testing.T) {
 	const memory = 100
 
 	rapid.Check(t, func(t *rapid.T) {
 		var b Book
 
-		naive := make(map[Key]Row)
+		reference := make(map[Key]Row)
 
 		held := func(id instance.ID) int64 {
 			var n int64
 
-			for k, r := range naive {
+			for k, r := range reference {
 				if k.Target == id {
 					n += r.Bytes
 				}
@@ -41,7 +41,7 @@
 				Model:  fmt.Sprint("m", rapid.IntRange(0, 4).Draw(t, "model")),
 			}
 			row := Row{Key: k, Bytes: rapid.Int64Range(0, 60).Draw(t, "bytes")}
-			_, exists := naive[k]
+			_, exists := reference[k]
 
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
@@ -49,37 +49,37 @@
 				fits := !exists && held(k.Target)+row.Bytes <= memory
 
 				if fits != (err == nil) {
-					t.Fatalf("fits %v, but reserved with %v", fits, err)
+					t.Fatalf("fits: %v, but Reserve returned %v", fits, err)
 				}
 
 				if fits {
-					naive[k] = row
+					reference[k] = row
 				}
 			case 2:
 				b.Adopt(row)
 
 				if !exists {
-					naive[k] = row
+					reference[k] = row
 				}
 			case 3:
 				b.Remove(k)
-				delete(naive, k)
+				delete(reference, k)
 			}
 
-			if b.Len() != len(naive) || b.Held(k.Target) != held(k.Target) {
-				t.Fatalf("book %d rows, %d bytes; naive %d, %d", b.Len(), b.Held(k.Target), len(naive), held(k.Target))
+			if b.Len() != len(reference) || b.Held(k.Target) != held(k.Target) {
+				t.Fatalf("ledger: %d rows, %d bytes; reference: %d, %d", b.Len(), b.Held(k.Target), len(reference), held(k.Target))
 			}
 
 			replicas := 0
 
-			for other := range naive {
+			for other := range reference {
 				if other.Model == k.Model {
 					replicas++
 				}
 			}
 
 			if len(b.Model(k.Model)) != replicas {
-				t.Fatalf("%d replicas, naive %d", len(b.Model(k.Model)), replicas)
+				t.Fatalf("ledger: %d replicas; reference: %d", len(b.Model(k.Model)), replicas)
 			}
 		}
 	})
@@ -105,9 +105,10 @@
 	assert.Assert(t, errors.As(err, &duplicate))
 }
 
-// TestRemovable is the story of an order that comes late. Each case is a row
-// whose engine shows nothing loaded; it may be removed only when no order for
-// it can take effect any more.
+// TestRemovable guards against an order that arrives after its row was removed
+// and loads a replica that the ledger does not count. A row may be removed only
+// when the engine does not hold its model and no order for it can take effect
+// any more.
 func TestRemovable(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	empty := &target.Inventory{Incarnation: "i2", Token: 5}
@@ -119,29 +120,29 @@
 		e     Evidence
 		want  bool
 	}{
-		"own, answered":                  {State{Own: true, Acknowledged: true, Incarnation: "i2"}, Evidence{Inventory: empty}, true},
-		"own, never sent":                {State{Own: true}, Evidence{Inventory: empty}, true},
-		"own, still loaded":              {State{Own: true, Acknowledged: true, Incarnation: "i2"}, Evidence{Inventory: holding}, false},
-		"own, engine silent":             {State{Own: true, Acknowledged: true, Incarnation: "i2"}, Evidence{}, false},
-		"own, sent without an answer":    {State{Own: true, InDoubtSince: now.Add(-time.Second)}, Evidence{Inventory: empty}, false},
-		"own, sent long ago":             {State{Own: true, InDoubtSince: now.Add(-long)}, Evidence{Inventory: empty}, true},
-		"own, doubt, but answered since": {State{Own: true, Acknowledged: true, Incarnation: "i2", InDoubtSince: now}, Evidence{Inventory: empty}, true},
-		"own, doubt, answered by an earlier incarnation": {
+		"own, answered":                                        {State{Own: true, Acknowledged: true, Incarnation: "i2"}, Evidence{Inventory: empty}, true},
+		"own, no order sent":                                   {State{Own: true}, Evidence{Inventory: empty}, true},
+		"own, still loaded":                                    {State{Own: true, Acknowledged: true, Incarnation: "i2"}, Evidence{Inventory: holding}, false},
+		"own, no inventory":                                    {State{Own: true, Acknowledged: true, Incarnation: "i2"}, Evidence{}, false},
+		"own, order in doubt":                                  {State{Own: true, InDoubtSince: now.Add(-time.Second)}, Evidence{Inventory: empty}, false},
+		"own, in doubt for longer than an order lives":         {State{Own: true, InDoubtSince: now.Add(-long)}, Evidence{Inventory: empty}, true},
+		"own, in doubt, an order answered by this incarnation": {State{Own: true, Acknowledged: true, Incarnation: "i2", InDoubtSince: now}, Evidence{Inventory: empty}, true},
+		"own, in doubt, an order answered by an earlier incarnation": {
 			State{Own: true, Acknowledged: true, Incarnation: "i1", InDoubtSince: now}, Evidence{Inventory: empty}, false,
 		},
-		"adopted, writer unsettled, fenced": {
+		"adopted, writer not resolved, token raised": {
 			State{Acknowledged: true, Incarnation: "i2"}, Evidence{Inventory: empty, ChecksTokens: true, Token: 5}, false,
 		},
-		"adopted, writer settled, fenced": {
+		"adopted, writer resolved, token raised": {
 			State{}, Evidence{Inventory: empty, ChecksTokens: true, Token: 5, Resolved: 1}, true,
 		},
-		"adopted, writer settled, token not raised yet": {
+		"adopted, writer resolved, token not raised yet": {
 			State{}, Evidence{Inventory: empty, ChecksTokens: true, Token: 6, Resolved: time.Second}, false,
 		},
-		"adopted, writer settled just now, tokens ignored": {
+		"adopted, writer just resolved, tokens ignored": {
 			State{}, Evidence{Inventory: empty, Token: 5, Resolved: time.Second}, false,
 		},
-		"adopted, writer settled long ago, tokens ignored": {
+		"adopted, writer resolved for longer than an order lives, tokens ignored": {
 			State{}, Evidence{Inventory: empty, Token: 5, Resolved: long}, true,
 		},
 		"target gone": {State{InDoubtSince: now}, Evidence{TargetGone: true}, true},
