--- a/internal/placement/cell/cell.go
+++ b/internal/placement/cell/cell.go
@@ -192,8 +192,8 @@
 	return slices.Index(ranked, c.cfg.Self)
 }
 
-// checkLease reads the lease that another instance holds and acquires it if it
-// is free.
+// checkLease reads the lease, which this instance does not hold, and acquires
+// it if it is free.
 func (c *Cell) checkLease(ctx context.Context, rank int) {
 	rows, err := c.cfg.Table.Read(ctx, record.LeaseKey(c.cfg.Cell), record.FenceKey(c.cfg.Cell))
 	if err != nil {
@@ -261,7 +261,7 @@
 
 	c.mu.Lock()
 	c.held = held
-	c.preferred = "" // The time for which another ranked first counts anew in each term.
+	c.preferred = "" // In each term, preferredSince starts anew.
 	c.term = newLeaseTerm(c, held)
 	t := c.term
 	c.mu.Unlock()
@@ -414,8 +414,9 @@
 	return t.granter.Grant(a, time.Now())
 }
 
-// Lease returns the lease that this instance holds as far as it has read. The
-// lease may have expired meanwhile.
+// Lease returns the lease that this instance has acquired, and whether it has
+// one. A lease that has expired is returned until this instance finds out that
+// another one has acquired it.
 func (c *Cell) Lease() (peer.Lease, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/placement/cell/failure_test.go
+++ b/internal/placement/cell/failure_test.go
@@ -100,7 +100,7 @@
 		took, ok := w.reportUntilReady(modelName(0), 10*time.Second)
 		assert.Assert(t, ok, w.state())
 		assert.Assert(t, took < 3*time.Second, "took %s", took)
-		assert.Equal(t, w.holder().Takeovers.Load(), int64(1), "a lost answer must not cost the holder its lease")
+		assert.Equal(t, w.holder().Takeovers.Load(), int64(1), "the holder must not lose its lease")
 	}},
 	{"store down during failover", func(t *testing.T, w *world) {
 		// The holder dies while the store is down for a minute. No process can
--- a/internal/placement/cell/history.go
+++ b/internal/placement/cell/history.go
@@ -42,20 +42,20 @@
 
 // addUse records a use of the model at now, if n, its number of requests, is
 // not zero.
-func (p *modelHistory) addUse(model string, now time.Time, n int) {
+func (h *modelHistory) addUse(model string, now time.Time, n int) {
 	if n > 0 {
-		p.uses.Used(model, now)
+		h.uses.Used(model, now)
 	}
 }
 
 // candidates returns the models that may be worth loading ahead of use.
-func (p *modelHistory) candidates(now time.Time, worth float64) []string {
-	if now.Sub(p.candidatesAt) >= candidatesEvery {
+func (h *modelHistory) candidates(now time.Time, worth float64) []string {
+	if now.Sub(h.candidatesAt) >= candidatesEvery {
 		least := smallestAcceleratorShare / (longestLoad.Seconds() * worth)
-		p.candidateModels, p.candidatesAt = p.uses.Candidates(now, candidateHorizon, least), now
+		h.candidateModels, h.candidatesAt = h.uses.Candidates(now, candidateHorizon, least), now
 	}
 
-	return p.candidateModels
+	return h.candidateModels
 }
 
 // maintainHistory reads the history that former holders have written, and then
@@ -71,7 +71,7 @@
 		t.writeHistory(t.ctx)
 	}
 
-	// When the term ends in an orderly way, nothing is lost.
+	// Write once more when the term ends, so that only a crash loses uses.
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 
--- a/internal/placement/cell/orders.go
+++ b/internal/placement/cell/orders.go
@@ -97,7 +97,8 @@
 // orderRetry is the pause before an order without an answer is sent again.
 const orderRetry = 200 * time.Millisecond
 
-// endsOrder reports whether the order need not be sent again after the error.
+// endsOrder handles the error of an order and reports whether it is final, so
+// that the order is not sent again.
 func (t *leaseTerm) endsOrder(k ledger.Key, err error) bool {
 	if isStale(err) {
 		t.foundSuccessor(err)
@@ -114,7 +115,7 @@
 	}
 
 	if isNoMemory(err) {
-		// The engine proved that it did not load.
+		// The engine has confirmed that it did not load the model.
 		row.State.Acknowledged = true
 		row.State.Incarnation = t.targets[k.Target].inventory.Incarnation
 		t.recordLoadFailure(row, time.Now())
--- a/internal/placement/cell/publish.go
+++ b/internal/placement/cell/publish.go
@@ -18,8 +18,8 @@
 	targets  map[instance.ID]router.TargetInfo
 	replicas map[ledger.Key]bool
 	waits    []router.Wait
-	// removedIn is the number of the snapshot that first omitted a replica, by
-	// the replicas in the ledger that are not published.
+	// removedIn maps each counted replica that was withdrawn after it had been
+	// published to the number of the first snapshot without it.
 	removedIn map[ledger.Key]uint64
 	queues    map[instance.ID]chan *router.Snapshot
 }
@@ -29,10 +29,10 @@
 const queueLength = 8
 
 // omits reports whether the last publication leaves the replica out.
-func (f *publication) omits(k ledger.Key) bool { return f.number > 0 && !f.replicas[k] }
+func (p *publication) omits(k ledger.Key) bool { return p.number > 0 && !p.replicas[k] }
 
 // omittedSince returns the number of the first snapshot without the replica.
-func (f *publication) omittedSince(k ledger.Key) uint64 { return max(1, f.removedIn[k]) }
+func (p *publication) omittedSince(k ledger.Key) uint64 { return max(1, p.removedIn[k]) }
 
 // publish sends the entries a delta every publishEvery, and at once if
 // publishNow is set or another model waits or waits for another reason.
@@ -41,24 +41,24 @@
 		return
 	}
 
-	f := &t.published
-	due := now.Sub(f.at) >= publishEvery
+	p := &t.published
+	due := now.Sub(p.at) >= publishEvery
 
-	if !due && !t.publishNow && sameWaits(f.waits, t.waits) {
+	if !due && !t.publishNow && sameWaits(p.waits, t.waits) {
 		return
 	}
 
 	next := publication{
-		number:    f.number + 1,
+		number:    p.number + 1,
 		at:        now,
 		targets:   t.targetInfos(now),
 		replicas:  t.readyReplicas(),
 		waits:     slices.Clone(t.waits),
-		removedIn: f.removedIn,
-		queues:    f.queues,
+		removedIn: p.removedIn,
+		queues:    p.queues,
 	}
 
-	delta := t.delta(f, &next, due)
+	delta := t.delta(p, &next, due)
 	t.published = next
 	t.publishNow = false
 	t.enqueue(delta)
@@ -162,13 +162,13 @@
 }
 
 // snapshotHeader returns a snapshot without targets and replicas.
-func (t *leaseTerm) snapshotHeader(f *publication) *router.Snapshot {
+func (t *leaseTerm) snapshotHeader(p *publication) *router.Snapshot {
 	return &router.Snapshot{
 		Cell:   t.cfg.Cell,
 		Holder: t.cfg.Self,
 		Token:  t.held.Token,
-		Number: f.number,
-		Waits:  f.waits,
+		Number: p.number,
+		Waits:  p.waits,
 	}
 }
 
--- a/internal/placement/cell/term.go
+++ b/internal/placement/cell/term.go
@@ -282,9 +282,9 @@
 		}
 	}
 
-	part, using := t.loadShare(now), t.loadsInFlight()
-	v.FreeLoads = part.Models - using.Models
-	v.FreeAdapterLoads = part.Adapters - using.Adapters
+	limit, using := t.loadShare(now), t.loadsInFlight()
+	v.FreeLoads = limit.Models - using.Models
+	v.FreeAdapterLoads = limit.Adapters - using.Adapters
 
 	v.Targets = t.targetSnapshots(now)
 
@@ -420,18 +420,19 @@
 	return errors.As(err, &stale)
 }
 
-// speed is an exponentially smoothed speed in bytes per second.
+// speed is an exponential moving average of the speed of loads, in bytes per
+// second.
 type speed struct{ perSecond float64 }
 
 // add adds one completed load to the average.
-func (r *speed) add(bytes int64, d time.Duration) {
+func (s *speed) add(bytes int64, d time.Duration) {
 	const gain = 0.2
 
 	if d <= 0 {
 		return
 	}
 
-	r.perSecond += gain * (float64(bytes)/d.Seconds() - r.perSecond)
+	s.perSecond += gain * (float64(bytes)/d.Seconds() - s.perSecond)
 }
 
 func detail(format string, args ...any) string { return fmt.Sprintf(format, args...) }
--- a/internal/placement/lease/lease.go
+++ b/internal/placement/lease/lease.go
@@ -125,9 +125,9 @@
 // Free reports whether the candidate self may acquire the lease at now. Rank
 // is its position, from zero, in the cell's rendezvous order.
 //
-// A lease that is held is free once the row has not changed for its whole
-// duration on this instance's own clock, so no clocks of different machines
-// are compared. Each candidate waits longer than the one ranked before it, so
+// A lease that was not released becomes free once its row has not changed for
+// the whole duration on this instance's own clock, so the clocks of different
+// machines are not compared. Each candidate waits longer than the one ranked before it, so
 // that they rarely race; if they do, the condition on the row's version lets
 // only one succeed.
 func (w *Watch) Free(now time.Time, t Terms, self instance.ID, rank int) bool {
--- a/internal/placement/lease/lease_test.go
+++ b/internal/placement/lease/lease_test.go
@@ -10,8 +10,8 @@
 
 // TestOneHolder: the holder's clock runs slow and a candidate's clock runs fast,
 // each within the allowed drift. Without the margin both would hold the lease
-// and order loads in one cell. Whenever the candidate may acquire the lease, it
-// must have expired for the holder.
+// and order loads in one cell. Whenever the candidate may acquire the lease,
+// the holder must already regard it as expired.
 func TestOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		terms := DefaultTerms()
