--- a/internal/placement/lease/lease.go
+++ b/internal/placement/lease/lease.go
@@ -28,7 +28,7 @@
 	WriteID string
 }
 
-// Terms are the lease's timing. All instances must use the same.
+// Terms holds the intervals of a lease. All instances must use the same values.
 type Terms struct {
 	// Duration is how long a lease is valid after a renewal was sent.
 	Duration time.Duration
--- a/internal/placement/ledger/ledger_test.go
+++ b/internal/placement/ledger/ledger_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestAgainstReference runs random reservations, adoptions and removals on a
-// Book and on a plain map, and compares the counts and sums after each.
+// ledger and on a plain map, and compares the counts and sums after each.
 func TestAgainstReference(t *testing.T) {
 	const memory = 100
 
