--- a/internal/placement/cell/schedule_test.go
+++ b/internal/placement/cell/schedule_test.go
@@ -16,13 +16,13 @@
 	"github.com/fulmarcross/fulmarcross/internal/standin/platform"
 )
 
-// mishap is one thing that goes wrong in a schedule.
-type mishap struct {
+// incident is one fault that a schedule injects.
+type incident struct {
 	name string
 	run  func(w *world, rng *rand.Rand)
 }
 
-var mishaps = []mishap{
+var incidents = []incident{
 	{"kill the holder", func(w *world, _ *rand.Rand) {
 		if p := w.holder(); p != nil && len(w.running()) > 1 {
 			w.kill(p)
@@ -38,11 +38,11 @@
 	{"pause the holder past its lease", func(w *world, rng *rand.Rand) {
 		if p := w.holder(); p != nil {
 			p.gate.Close()
-			time.AfterFunc(3*time.Second+rand64(rng, 6*time.Second), p.gate.Open)
+			time.AfterFunc(3*time.Second+randomDuration(rng, 6*time.Second), p.gate.Open)
 		}
 	}},
-	{"pause the holder with an order in hand", func(w *world, rng *rand.Rand) {
-		d := 4*time.Second + rand64(rng, 8*time.Second)
+	{"pause the holder before it sends an order", func(w *world, rng *rand.Rand) {
+		d := 4*time.Second + randomDuration(rng, 8*time.Second)
 
 		var once sync.Once
 
@@ -53,21 +53,21 @@
 			})
 		})
 	}},
-	{"lose answers of the table", func(w *world, rng *rand.Rand) {
+	{"lose answers of the store", func(w *world, rng *rand.Rand) {
 		w.platform.SetFaults(platform.Faults{LoseAnswers: 1 + rng.IntN(4), ListLag: time.Second})
 	}},
-	{"stop the table", func(w *world, rng *rand.Rand) {
+	{"stop the store", func(w *world, rng *rand.Rand) {
 		w.platform.SetFaults(platform.Faults{TableDown: true})
-		time.AfterFunc(rand64(rng, 6*time.Second), func() { w.platform.SetFaults(platform.Faults{}) })
+		time.AfterFunc(randomDuration(rng, 6*time.Second), func() { w.platform.SetFaults(platform.Faults{}) })
 	}},
-	{"slow the table", func(w *world, rng *rand.Rand) {
-		w.platform.SetFaults(platform.Faults{TableDelay: rand64(rng, time.Second)})
+	{"slow the store", func(w *world, rng *rand.Rand) {
+		w.platform.SetFaults(platform.Faults{TableDelay: randomDuration(rng, time.Second)})
 		time.AfterFunc(4*time.Second, func() { w.platform.SetFaults(platform.Faults{}) })
 	}},
 	{"crash an engine", func(w *world, rng *rand.Rand) { w.engines[rng.IntN(len(w.engines))].Crash() }},
 	{"delay orders", func(w *world, rng *rand.Rand) {
 		e := w.engines[rng.IntN(len(w.engines))]
-		e.SetFaults(engine.Faults{LateOrders: rand64(rng, 5*time.Second)})
+		e.SetFaults(engine.Faults{LateOrders: randomDuration(rng, 5*time.Second)})
 		time.AfterFunc(5*time.Second, func() { e.SetFaults(engine.Faults{}) })
 	}},
 	{"fail loads", func(w *world, rng *rand.Rand) {
@@ -86,23 +86,23 @@
 	{"slow the weight store tenfold", func(w *world, _ *rand.Rand) { w.weights.Slow(10) }},
 }
 
-func rand64(rng *rand.Rand, most time.Duration) time.Duration {
-	return time.Duration(rng.Int64N(int64(most)))
+func randomDuration(rng *rand.Rand, limit time.Duration) time.Duration {
+	return time.Duration(rng.Int64N(int64(limit)))
 }
 
-// schedules is how many seeded schedules run. The race detector makes each
-// many times slower.
+// schedules is how many seeded schedules run. Under the race detector, which
+// makes each many times slower, a twentieth of them runs.
 const schedules = 1000
 
-const modelsAsked = 6
+const modelCount = 6
 
-// runSchedule brings about mishaps in a seeded order and at seeded times while
-// models are asked for. Both sums are checked after every change on an engine.
+// runSchedule injects incidents in a seeded order and at seeded times while
+// requests wait for models. world.check runs after every change on an engine.
 func runSchedule(t *testing.T, seed uint64, checksTokens bool, only ...string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		rng := newRand(seed)
-		w := newWorld(t, 3, modelsAsked, checksTokens)
+		w := newWorld(t, 3, modelCount, checksTokens)
 		w.jitter.Store(int64(seed%3) * int64(150*time.Millisecond))
 
 		for i := range 3 {
@@ -113,38 +113,38 @@
 
 		time.Sleep(3 * time.Second)
 
-		story := fmt.Sprintf("seed %d, tokens checked %v:", seed, checksTokens)
+		schedule := fmt.Sprintf("seed %d, tokens checked %v:", seed, checksTokens)
 
 		for range 3 + rng.IntN(4) {
-			m := mishaps[rng.IntN(len(mishaps))]
+			m := incidents[rng.IntN(len(incidents))]
 			if len(only) > 0 {
-				m = mishapNamed(only[rng.IntN(len(only))])
+				m = incidentNamed(only[rng.IntN(len(only))])
 			}
 
-			story += " " + m.name + ";"
+			schedule += " " + m.name + ";"
 			m.run(w, rng)
 
 			for range 1 + rng.IntN(6) {
-				w.ask(modelName(rng.IntN(modelsAsked)), modelName(rng.IntN(modelsAsked)))
-				time.Sleep(rand64(rng, 1200*time.Millisecond))
+				w.reportWaiting(modelName(rng.IntN(modelCount)), modelName(rng.IntN(modelCount)))
+				time.Sleep(randomDuration(rng, 1200*time.Millisecond))
 			}
 
-			w.assertKept(story)
+			w.assertNoViolations(schedule)
 		}
 
-		// When everything works again, so must the cell.
+		// Once the faults have ended, the cell must recover.
 		w.platform.SetFaults(platform.Faults{})
 		w.weights.Slow(1)
 		time.Sleep(25 * time.Second)
 
-		_, ok := w.askUntil(modelName(0), time.Minute)
-		assert.Assert(t, ok, "%s the cell did not recover: %s", story, w.state())
-		w.assertKept(story)
+		_, ok := w.reportUntilReady(modelName(0), time.Minute)
+		assert.Assert(t, ok, "%s the cell did not recover: %s", schedule, w.state())
+		w.assertNoViolations(schedule)
 	})
 }
 
-func mishapNamed(name string) mishap {
-	for _, m := range mishaps {
+func incidentNamed(name string) incident {
+	for _, m := range incidents {
 		if m.name == name {
 			return m
 		}
@@ -153,10 +153,10 @@
 	panic(name)
 }
 
-// TestSchedules is the story of two or more mishaps at once: whatever dies,
-// pauses or answers late, and in whichever order, an operator must never see
-// more replicas loaded than were decided, or an instance's memory
-// overcommitted, and the cell must recover by itself.
+// TestSchedules injects several faults at once: processes and engines that die,
+// pause or answer late, in random order. No replica may be loaded that the
+// ledger does not count, no engine's memory may be overcommitted, and the cell
+// must recover by itself.
 func TestSchedules(t *testing.T) {
 	const chunks = 16
 
--- a/internal/placement/cell/world_test.go
+++ b/internal/placement/cell/world_test.go
@@ -34,7 +34,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/record"
 )
 
-// world is a platform, a few engines and processes that control one cell,
+// world is a platform, several engines and the processes that control one cell,
 // inside a synctest bubble.
 type world struct {
 	t        *testing.T
@@ -44,22 +44,22 @@
 	checks   bool
 
 	// beforeOrder runs when a process has checked its lease and is about to
-	// send an order; afterCommit runs when a transaction took effect and its
-	// answer is on its way.
+	// send an order; afterCommit runs when a transaction has taken effect and
+	// its answer has not arrived yet.
 	beforeOrder func(p *proc, o target.Order)
 	afterCommit func(p *proc, tx table.Transaction)
-	// jitter bounds the time that an order and its answer take on the way.
+	// jitter bounds the network delay of an order and of its answer.
 	jitter atomic.Int64 // jitter is a time.Duration.
-	// deaf makes heartbeats get lost.
-	deaf atomic.Bool
+	// heartbeatsLost says that no heartbeat arrives.
+	heartbeatsLost atomic.Bool
 
-	mu     sync.Mutex
-	procs  []*proc
-	faults []string
-	orders []sentOrder
+	mu         sync.Mutex
+	procs      []*proc
+	violations []string
+	orders     []sentOrder
 }
 
-// sentOrder is an order that went out.
+// sentOrder is an order that a process has sent.
 type sentOrder struct {
 	target.Order
 
@@ -67,7 +67,7 @@
 	at time.Time
 }
 
-// proc is one process that may hold the cell.
+// proc is one process that may hold the cell's lease.
 type proc struct {
 	*Cell
 
@@ -86,7 +86,7 @@
 
 func modelName(i int) string { return fmt.Sprintf("model-%d", i) }
 
-// newWorld makes engines with room for two models each.
+// newWorld returns a world with engines that have memory for two models each.
 func newWorld(t *testing.T, engines, models int, checksTokens bool) *world {
 	t.Helper()
 
@@ -114,7 +114,7 @@
 	return w
 }
 
-// check runs after every change of what an engine holds: the bytes must fit
+// check runs whenever an engine's resident models change: their bytes must fit
 // its memory, and each replica must be counted by the ledger.
 func (w *world) check(id instance.ID, held []target.Held, memory int64) {
 	var sum int64
@@ -123,31 +123,31 @@
 		sum += h.Bytes
 
 		if _, ok := w.platform.Row(record.LedgerKey(0, ledger.Key{Target: id, Model: h.Model})); !ok {
-			w.faultf("%s holds %s, which the ledger does not count", id, h.Model)
+			w.violationf("%s holds %s, which the ledger does not count", id, h.Model)
 		}
 	}
 
 	if sum > memory {
-		w.faultf("%s holds %d bytes of %d", id, sum, memory)
+		w.violationf("%s holds %d bytes of %d", id, sum, memory)
 	}
 }
 
-func (w *world) faultf(format string, args ...any) {
+func (w *world) violationf(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	w.faults = append(w.faults, fmt.Sprintf(format, args...))
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-func (w *world) assertKept(context string) {
+func (w *world) assertNoViolations(context string) {
 	w.t.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	assert.Equal(w.t, len(w.faults), 0, "%s: %v", context, w.faults)
+	assert.Equal(w.t, len(w.violations), 0, "%s: %v", context, w.violations)
 }
 
-// start runs a process on the instance. Its peers hear of it by heartbeats.
+// start runs a process on the instance. Its peers detect it by its heartbeats.
 func (w *world) start(id instance.ID) *proc {
 	w.mu.Lock()
 	number := len(w.procs)
@@ -189,13 +189,13 @@
 	w.procs = append(w.procs, p)
 	w.mu.Unlock()
 
-	go w.beat(ctx, p)
+	go w.heartbeat(ctx, p)
 	go p.Run(ctx)
 
 	return p
 }
 
-// hook makes f run before each order.
+// hook sets beforeOrder.
 func (w *world) hook(f func(p *proc, o target.Order)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -203,7 +203,7 @@
 	w.beforeOrder = f
 }
 
-// hookCommit makes f run after each commit.
+// hookCommit sets afterCommit.
 func (w *world) hookCommit(f func(p *proc, tx table.Transaction)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -218,7 +218,7 @@
 	return w.beforeOrder, w.afterCommit
 }
 
-// running returns the processes that live.
+// running returns the live processes.
 func (w *world) running() []*proc {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -236,7 +236,7 @@
 	return nil
 }
 
-func (w *world) alive(id instance.ID) *proc {
+func (w *world) procOf(id instance.ID) *proc {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
@@ -250,13 +250,13 @@
 }
 
 func (w *world) nudge(id instance.ID) {
-	if p := w.alive(id); p != nil {
+	if p := w.procOf(id); p != nil {
 		p.Wake()
 	}
 }
 
 func (w *world) send(ctx context.Context, to instance.ID, s *router.Snapshot) (bool, error) {
-	p := w.alive(to)
+	p := w.procOf(to)
 	if p == nil {
 		return false, errors.New("no such entry")
 	}
@@ -264,9 +264,9 @@
 	return p.table.Apply(s, time.Now()), ctx.Err()
 }
 
-// beat reads the list and tells all others how the process is, as long as it
-// lives and is not paused.
-func (w *world) beat(ctx context.Context, p *proc) {
+// heartbeat reads the instance list and sends the process's status to all
+// others, as long as the process lives and is not paused.
+func (w *world) heartbeat(ctx context.Context, p *proc) {
 	for ctx.Err() == nil {
 		if p.gate.Wait(ctx) != nil {
 			return
@@ -289,7 +289,7 @@
 		w.mu.Unlock()
 
 		for _, o := range others {
-			if o != p && !w.deaf.Load() {
+			if o != p && !w.heartbeatsLost.Load() {
 				o.set.Hear(st, time.Now())
 			}
 		}
@@ -299,7 +299,8 @@
 	}
 }
 
-// kill ends the process at once. What it was about to send is never sent.
+// kill ends the process at once. Requests that it was about to send are not
+// sent.
 func (w *world) kill(p *proc) {
 	w.mu.Lock()
 	for i, o := range w.procs {
@@ -348,8 +349,8 @@
 	return best
 }
 
-// ask reports to the holder that an entry waits for the models.
-func (w *world) ask(models ...string) {
+// reportWaiting reports to the holder that requests wait for the models.
+func (w *world) reportWaiting(models ...string) {
 	p := w.holder()
 	if p == nil {
 		return
@@ -365,42 +366,42 @@
 	_ = p.Report(r)
 }
 
-// askUntil asks again and again until the model is ready somewhere, and
-// returns how long that took.
-func (w *world) askUntil(model string, patience time.Duration) (time.Duration, bool) {
-	began := time.Now()
+// reportUntilReady reports demand for the model until an engine has it ready,
+// and returns how long that took.
+func (w *world) reportUntilReady(model string, timeout time.Duration) (time.Duration, bool) {
+	start := time.Now()
 
-	for time.Since(began) < patience {
-		w.ask(model)
+	for time.Since(start) < timeout {
+		w.reportWaiting(model)
 
 		for _, e := range w.engines {
 			if e.Holds(model) {
-				return time.Since(began), true
+				return time.Since(start), true
 			}
 		}
 
 		time.Sleep(5 * time.Millisecond)
 	}
 
-	return patience, false
+	return timeout, false
 }
 
-// awaitHolder waits for a process that holds the cell with a token above the
+// awaitHolder waits for a process that holds the lease with a token above the
 // given one.
-func (w *world) awaitHolder(above uint64, patience time.Duration) (time.Duration, bool) {
-	began := time.Now()
+func (w *world) awaitHolder(above uint64, timeout time.Duration) (time.Duration, bool) {
+	start := time.Now()
 
-	for time.Since(began) < patience {
+	for time.Since(start) < timeout {
 		if p := w.holder(); p != nil {
 			if l, _ := p.Lease(); l.Token > above {
-				return time.Since(began), true
+				return time.Since(start), true
 			}
 		}
 
 		time.Sleep(5 * time.Millisecond)
 	}
 
-	return patience, false
+	return timeout, false
 }
 
 func (w *world) token() uint64 {
@@ -415,15 +416,15 @@
 
 func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, seed)) }
 
-// state describes the holder's view, for failures.
+// state describes the holder's state, for failure messages.
 func (w *world) state() string {
 	p := w.holder()
 	if p == nil {
-		return "nobody holds the cell"
+		return "no process holds the cell"
 	}
 
 	p.mu.Lock()
-	t := p.tenure
+	t := p.term
 	p.mu.Unlock()
 
 	t.mu.Lock()
@@ -437,7 +438,7 @@
 		fmt.Fprintf(&b, " %s usable=%v fresh=%v %s orders=%d;", id, e.usable, e.fresh, e.State, e.orders)
 	}
 
-	t.book.All(func(r *ledger.Row) { fmt.Fprintf(&b, " %s@%s by %s: %+v;", r.Model, r.Target, r.Process, r.State) })
+	t.ledger.All(func(r *ledger.Row) { fmt.Fprintf(&b, " %s@%s by %s: %+v;", r.Model, r.Target, r.Process, r.State) })
 	fmt.Fprint(&b, t.waits)
 
 	return b.String()
