--- a/internal/cli/settings/settings.go
+++ b/internal/cli/settings/settings.go
@@ -53,7 +53,7 @@
 	// ColdStartWeight is from 0, where idle accelerator hours alone count, to
 	// 1, where the tail of cold starts alone counts.
 	ColdStartWeight float64
-	Lease           lease.Terms
+	Lease           lease.Timing
 	// Shutdown bounds a graceful shutdown.
 	Shutdown time.Duration
 }
@@ -190,8 +190,8 @@
 	return s, c.faults
 }
 
-func (d *document) lease(c *checker) lease.Terms {
-	t := lease.DefaultTerms()
+func (d *document) lease(c *checker) lease.Timing {
+	t := lease.DefaultTiming()
 	t.Duration = milliseconds(d.Lease.DurationMs, t.Duration)
 	t.Renew = milliseconds(d.Lease.RenewMs, min(t.Renew, t.Duration/3)) //nolint:mnd // Three tries in a lease.
 
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -192,7 +192,7 @@
 
 // terms are the lease's times. A take-over after a death takes the duration
 // and a look, about three seconds; a renewal has two tries before it lapses.
-var terms = lease.Terms{
+var terms = lease.Timing{
 	Duration: 2500 * time.Millisecond,
 	Renew:    800 * time.Millisecond,
 	Poll:     400 * time.Millisecond,
--- a/internal/placement/cell/cell.go
+++ b/internal/placement/cell/cell.go
@@ -62,7 +62,7 @@
 	Objects object.Store
 	Log     *timeline.Log
 	Logger  zerolog.Logger
-	Terms   lease.Terms
+	Terms   lease.Timing
 	Policy  replica.Terms
 	// Loads limits the loads that all cells together may have in flight.
 	Loads share.Amount
@@ -82,7 +82,7 @@
 
 	mu    sync.Mutex
 	watch lease.Watch
-	held  lease.Held
+	held  lease.Holding
 	term  *leaseTerm
 	// preferredSince is since when preferred, another instance, has ranked first
 	// for the cell.
@@ -112,8 +112,8 @@
 
 // New returns the control of a cell. Run starts it.
 func New(cfg Config) *Cell {
-	if cfg.Terms == (lease.Terms{}) {
-		cfg.Terms = lease.DefaultTerms()
+	if cfg.Terms == (lease.Timing{}) {
+		cfg.Terms = lease.DefaultTiming()
 	}
 
 	return &Cell{cfg: cfg, wake: make(chan struct{}, 1)}
@@ -253,7 +253,7 @@
 		return
 	}
 
-	held := lease.Held{Record: next, Version: version, Fence: version, Sent: sent}
+	held := lease.Holding{Record: next, Version: version, FenceVersion: version, RenewalSent: sent}
 
 	c.Takeovers.Add(1)
 	c.cfg.Log.Add(timeline.Event{Kind: timeline.LeaseTaken, Detail: fmt.Sprintf("cell %d token %d", c.cfg.Cell, next.Token)})
@@ -271,14 +271,14 @@
 
 // renew renews the lease if that is due and returns the pause until the next
 // attempt.
-func (c *Cell) renew(ctx context.Context, held lease.Held) time.Duration {
+func (c *Cell) renew(ctx context.Context, held lease.Holding) time.Duration {
 	if c.shouldHandOver() {
 		c.Release(ctx)
 
 		return 0
 	}
 
-	due := held.Sent.Add(c.cfg.Terms.Renew)
+	due := held.RenewalSent.Add(c.cfg.Terms.Renew)
 	if wait := time.Until(due); wait > 0 {
 		return wait
 	}
@@ -328,13 +328,13 @@
 		return
 	}
 
-	c.held.Record, c.held.Version, c.held.Sent = next, version, sent
+	c.held.Record, c.held.Version, c.held.RenewalSent = next, version, sent
 	c.term.setHeld(c.held)
 }
 
 // conflict handles a renewal that conflicted: it reads the row, and either
 // continues with its version or ends the term.
-func (c *Cell) conflict(ctx context.Context, held lease.Held) {
+func (c *Cell) conflict(ctx context.Context, held lease.Holding) {
 	version, own, err := c.row().Own(ctx, held.Token)
 
 	switch {
@@ -357,7 +357,7 @@
 		return
 	}
 
-	c.held = lease.Held{}
+	c.held = lease.Holding{}
 	c.watch = lease.Watch{}
 	t := c.term
 	c.term = nil
@@ -372,7 +372,7 @@
 	c.mu.Lock()
 	t := c.term
 	c.term = nil
-	c.held = lease.Held{}
+	c.held = lease.Holding{}
 	c.mu.Unlock()
 
 	if t != nil {
--- a/internal/placement/cell/engines.go
+++ b/internal/placement/cell/engines.go
@@ -339,7 +339,7 @@
 	})
 	t.cfg.Logger.Warn().Str("target", string(id)).Str("model", h.Model).Msg("adopted a replica that had no ledger row")
 
-	key, value, fence := record.LedgerKey(t.cfg.Cell, row.Key), record.EncodeLedger(row), t.held.Fence
+	key, value, fence := record.LedgerKey(t.cfg.Cell, row.Key), record.EncodeLedger(row), t.held.FenceVersion
 	t.background(row, func(ctx context.Context) {
 		version, err := table.Settle(ctx, t.cfg.Table, table.Transaction{
 			Conditions: []table.Condition{{Key: key}, {Key: record.FenceKey(t.cfg.Cell), Version: fence}},
--- a/internal/placement/cell/handover.go
+++ b/internal/placement/cell/handover.go
@@ -56,7 +56,7 @@
 func (c *Cell) Release(ctx context.Context) {
 	c.mu.Lock()
 	held, t := c.held, c.term
-	c.held, c.term = lease.Held{}, nil
+	c.held, c.term = lease.Holding{}, nil
 	c.watch = lease.Watch{}
 	c.mu.Unlock()
 
--- a/internal/placement/cell/orders.go
+++ b/internal/placement/cell/orders.go
@@ -29,7 +29,7 @@
 		return
 	}
 
-	value, fence := record.EncodeLedger(row), t.held.Fence
+	value, fence := record.EncodeLedger(row), t.held.FenceVersion
 	bytes, base := row.Bytes, row.Base
 	t.mu.Unlock()
 
@@ -351,7 +351,7 @@
 		return
 	}
 
-	k, version, fence := r.Key, r.Version, t.held.Fence
+	k, version, fence := r.Key, r.Version, t.held.FenceVersion
 	t.background(r, func(context.Context) { t.remove(k, version, fence) })
 }
 
--- a/internal/placement/cell/term.go
+++ b/internal/placement/cell/term.go
@@ -34,7 +34,7 @@
 	since   time.Time
 
 	mu     sync.Mutex
-	held   lease.Held
+	held   lease.Holding
 	ledger ledger.Book
 	demand demand.Book
 	models map[string]weight.Checkpoint
@@ -63,7 +63,7 @@
 	modelsEvery  = 30 * time.Second
 )
 
-func newLeaseTerm(c *Cell, held lease.Held) *leaseTerm {
+func newLeaseTerm(c *Cell, held lease.Holding) *leaseTerm {
 	ctx, cancel := context.WithCancel(context.Background())
 
 	t := &leaseTerm{
@@ -102,7 +102,7 @@
 	t.wg.Wait()
 }
 
-func (t *leaseTerm) setHeld(h lease.Held) {
+func (t *leaseTerm) setHeld(h lease.Holding) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
--- a/internal/placement/holder/holder.go
+++ b/internal/placement/holder/holder.go
@@ -30,7 +30,7 @@
 	Process string
 	Table   table.Service
 	Engines Engines
-	Terms   lease.Terms
+	Terms   lease.Timing
 	// TurnPause is for how long no two holders may take turns with orders.
 	TurnPause time.Duration
 	// Targets returns what is known of the targets, and Routes what is in
@@ -59,7 +59,7 @@
 
 	mu    sync.Mutex
 	watch lease.Watch
-	held  lease.Held
+	held  lease.Holding
 	// mayOrder is from when on this holder may send orders, and stockBy until
 	// when it waits for what the engines hold.
 	mayOrder, stockBy time.Time
@@ -243,7 +243,7 @@
 
 	if h.held.Token != 0 && n.Token > h.held.Token {
 		h.cfg.Log.Warn().Uint64("token", h.held.Token).Str("holder", string(n.Holder)).Msg("lease lost")
-		h.held = lease.Held{}
+		h.held = lease.Holding{}
 	}
 
 	if n.Successor == h.cfg.Self {
--- a/internal/placement/holder/tenure.go
+++ b/internal/placement/holder/tenure.go
@@ -113,7 +113,7 @@
 	}
 
 	h.mu.Lock()
-	h.held = lease.Held{Record: next, Version: version, Fence: version, Sent: sent}
+	h.held = lease.Holding{Record: next, Version: version, FenceVersion: version, RenewalSent: sent}
 	h.mayOrder = h.firstOrder(old, sent)
 	h.stockBy = clock.Later(h.mayOrder, sent.Add(takeStock))
 	h.number, h.published = 0, false
@@ -154,9 +154,9 @@
 }
 
 // renewIfDue writes the lease again in the background of the decisions.
-func (h *Holder) renewIfDue(ctx context.Context, held lease.Held) {
+func (h *Holder) renewIfDue(ctx context.Context, held lease.Holding) {
 	now := clock.Now()
-	if now.Before(held.Sent.Add(h.cfg.Terms.Renew)) {
+	if now.Before(held.RenewalSent.Add(h.cfg.Terms.Renew)) {
 		return
 	}
 
@@ -173,7 +173,7 @@
 	}
 }
 
-func (h *Holder) renew(ctx context.Context, held lease.Held) {
+func (h *Holder) renew(ctx context.Context, held lease.Holding) {
 	next := held.Record
 	next.WriteID = uuid.NewString()
 	sent := clock.Now()
@@ -189,7 +189,7 @@
 	case table.IsConflict(err):
 		h.conflict(ctx, held)
 	default:
-		h.cfg.Log.Warn().Err(err).Uint64("token", held.Token).Dur("leaseAge", clock.Now().Sub(held.Sent)).Msg("lease not renewed")
+		h.cfg.Log.Warn().Err(err).Uint64("token", held.Token).Dur("leaseAge", clock.Now().Sub(held.RenewalSent)).Msg("lease not renewed")
 	}
 }
 
@@ -197,14 +197,14 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	if h.held.Token == next.Token && sent.After(h.held.Sent) {
-		h.held.Record, h.held.Version, h.held.Sent = next, version, sent
+	if h.held.Token == next.Token && sent.After(h.held.RenewalSent) {
+		h.held.Record, h.held.Version, h.held.RenewalSent = next, version, sent
 	}
 }
 
 // conflict finds out whether the lease was lost, or whether an earlier renewal
 // took effect after its answer was given up.
-func (h *Holder) conflict(ctx context.Context, held lease.Held) {
+func (h *Holder) conflict(ctx context.Context, held lease.Holding) {
 	version, own, err := h.row().Own(ctx, held.Token)
 	if err != nil {
 		return
@@ -224,7 +224,7 @@
 	}
 
 	h.cfg.Log.Warn().Uint64("token", held.Token).Uint64("row", version).Msg("lease lost")
-	h.held = lease.Held{}
+	h.held = lease.Holding{}
 	h.watch = lease.Watch{}
 }
 
@@ -257,7 +257,7 @@
 
 	h.mu.Lock()
 	version := h.held.Version
-	h.held = lease.Held{}
+	h.held = lease.Holding{}
 	news := h.last
 	h.mu.Unlock()
 
--- a/internal/placement/holder/world_test.go
+++ b/internal/placement/holder/world_test.go
@@ -27,7 +27,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/standin/worker"
 )
 
-var terms = lease.Terms{Duration: 2500 * time.Millisecond, Renew: 800 * time.Millisecond, Poll: 400 * time.Millisecond, Stagger: 200 * time.Millisecond}
+var terms = lease.Timing{Duration: 2500 * time.Millisecond, Renew: 800 * time.Millisecond, Poll: 400 * time.Millisecond, Stagger: 200 * time.Millisecond}
 
 const turnPause = 3 * time.Second
 
--- a/internal/placement/lease/lease.go
+++ b/internal/placement/lease/lease.go
@@ -28,8 +28,8 @@
 	WriteID string
 }
 
-// Terms holds the intervals of a lease. All instances must use the same values.
-type Terms struct {
+// Timing holds the intervals of a lease. All instances must use the same values.
+type Timing struct {
 	// Duration is how long a lease is valid after a renewal was sent.
 	Duration time.Duration
 	// Renew is the time between renewals.
@@ -42,10 +42,10 @@
 	Stagger time.Duration
 }
 
-// DefaultTerms returns a timing that bounds a failover, from the holder's
+// DefaultTiming returns a timing that bounds a failover, from the holder's
 // death to its successor, to about four seconds.
-func DefaultTerms() Terms {
-	return Terms{
+func DefaultTiming() Timing {
+	return Timing{
 		Duration: 3 * time.Second,
 		Renew:    time.Second,
 		Poll:     500 * time.Millisecond,
@@ -58,17 +58,17 @@
 // lengthen it.
 const maxClockDrift = 0.02
 
-// Held is a lease as its holder sees it. The zero value is not held.
-type Held struct {
+// Holding is a lease as its holder sees it. The zero value is not held.
+type Holding struct {
 	Record
 
 	// Version is the lease row's version, a condition of the next renewal.
 	Version uint64
-	// Fence is the fence row's version, a condition of all ledger writes.
-	Fence uint64
-	// Sent is when the last successful renewal was sent, on the monotonic
+	// FenceVersion is the fence row's version, a condition of all ledger writes.
+	FenceVersion uint64
+	// RenewalSent is when the last successful renewal was sent, on the monotonic
 	// clock.
-	Sent time.Time
+	RenewalSent time.Time
 }
 
 // ExpiredError says that the holder's own lease has expired.
@@ -81,11 +81,11 @@
 	return fmt.Sprintf("lease: cell %d: token %d has expired", e.Cell, e.Token)
 }
 
-// Until returns when the lease expires for its holder. It counts from when the
+// Expiry returns when the lease expires for its holder. It counts from when the
 // renewal was sent, not from when the answer came, because other instances may
 // count from the moment the write took effect.
-func (h *Held) Until(t Terms) time.Time {
-	return h.Sent.Add(time.Duration(float64(t.Duration) * (1 - maxClockDrift)))
+func (h *Holding) Expiry(t Timing) time.Time {
+	return h.RenewalSent.Add(time.Duration(float64(t.Duration) * (1 - maxClockDrift)))
 }
 
 // Valid reports whether the lease is held at now.
@@ -93,8 +93,8 @@
 // It is checked right before each order, on the monotonic clock: a holder that
 // was paused past its lease would otherwise send orders that conflict with its
 // successor's.
-func (h *Held) Valid(now time.Time, t Terms) bool {
-	return h.Token != 0 && !h.Released && now.Before(h.Until(t))
+func (h *Holding) Valid(now time.Time, t Timing) bool {
+	return h.Token != 0 && !h.Released && now.Before(h.Expiry(t))
 }
 
 // Watch is a lease as a candidate observes it. The zero value has observed
@@ -130,7 +130,7 @@
 // machines are not compared. Each candidate waits longer than the one ranked before it, so
 // that they rarely race; if they do, the condition on the row's version lets
 // only one succeed.
-func (w *Watch) Free(now time.Time, t Terms, self instance.ID, rank int) bool {
+func (w *Watch) Free(now time.Time, t Timing, self instance.ID, rank int) bool {
 	if !w.seen {
 		return false
 	}
--- a/internal/placement/lease/lease_test.go
+++ b/internal/placement/lease/lease_test.go
@@ -14,7 +14,7 @@
 // the holder must already regard it as expired.
 func TestOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		terms := DefaultTerms()
+		terms := DefaultTiming()
 		start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		slow := rapid.Float64Range(1-maxClockDrift, 1).Draw(t, "slow")
 		fast := rapid.Float64Range(1, 1+maxClockDrift).Draw(t, "fast")
@@ -28,7 +28,7 @@
 		effect := time.Duration(rapid.IntRange(0, 2000).Draw(t, "effect")) * time.Millisecond
 		seen := effect + time.Duration(rapid.IntRange(0, 2000).Draw(t, "seen"))*time.Millisecond
 
-		h := Held{Record: Record{Token: 1}, Sent: on(slow, 0)}
+		h := Holding{Record: Record{Token: 1}, RenewalSent: on(slow, 0)}
 
 		var w Watch
 
@@ -43,7 +43,7 @@
 }
 
 func TestFree(t *testing.T) {
-	terms := DefaultTerms()
+	terms := DefaultTiming()
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	ms := func(n int) time.Time { return now.Add(time.Duration(n) * time.Millisecond) }
 
--- a/internal/standin/trial/trial.go
+++ b/internal/standin/trial/trial.go
@@ -268,7 +268,7 @@
 		AdapterLoads:    32,
 		BytesPerSecond:  float64(loadSpeed),
 		ColdStartWeight: 0.5,
-		Lease: lease.Terms{
+		Lease: lease.Timing{
 			Duration: 1500 * time.Millisecond, Renew: 400 * time.Millisecond,
 			Poll: 200 * time.Millisecond, Stagger: 150 * time.Millisecond,
 		},
