--- a/internal/placement/cell/cell.go
+++ b/internal/placement/cell/cell.go
@@ -335,7 +335,7 @@
 // conflict handles a renewal that conflicted: it reads the row, and either
 // continues with its version or ends the term.
 func (c *Cell) conflict(ctx context.Context, held lease.Holding) {
-	version, own, err := c.row().Own(ctx, held.Token)
+	version, own, err := c.row().CheckOwner(ctx, held.Token)
 
 	switch {
 	case err != nil:
--- a/internal/placement/holder/tenure.go
+++ b/internal/placement/holder/tenure.go
@@ -205,7 +205,7 @@
 // conflict finds out whether the lease was lost, or whether an earlier renewal
 // took effect after its answer was given up.
 func (h *Holder) conflict(ctx context.Context, held lease.Holding) {
-	version, own, err := h.row().Own(ctx, held.Token)
+	version, own, err := h.row().CheckOwner(ctx, held.Token)
 	if err != nil {
 		return
 	}
--- a/internal/placement/leaserow/leaserow.go
+++ b/internal/placement/leaserow/leaserow.go
@@ -38,13 +38,13 @@
 	})
 }
 
-// Own reads the row and returns its version and whether it still names this
+// CheckOwner reads the row and returns its version and whether it still names this
 // process with the token.
 //
 // It resolves a conflict with a former renewal of this process that took
 // effect although its answer timed out: the row's version has changed, but the
 // lease is still held.
-func (r Row) Own(ctx context.Context, token uint64) (version uint64, own bool, err error) {
+func (r Row) CheckOwner(ctx context.Context, token uint64) (version uint64, own bool, err error) {
 	rows, err := r.Table.Read(ctx, record.LeaseKey(r.Cell))
 	if err != nil {
 		return 0, false, err
@@ -72,7 +72,7 @@
 			return written, err
 		}
 
-		current, own, readErr := r.Own(ctx, next.Token)
+		current, own, readErr := r.CheckOwner(ctx, next.Token)
 		if readErr != nil || !own {
 			return 0, err
 		}
