--- a/internal/measure/figure/capacity.go
+++ b/internal/measure/figure/capacity.go
@@ -228,7 +228,7 @@
 	const perTarget, gib = 30, int64(1) << 30
 
 	v := &replica.View{
-		Now: time.Now(), Book: &ledger.Book{}, Models: make(map[string]weight.Checkpoint), FreeLoads: 4,
+		Now: time.Now(), Book: &ledger.Ledger{}, Models: make(map[string]weight.Checkpoint), FreeLoads: 4,
 		FreeAdapterLoads: 32, BytesPerSecond: 1e9, Terms: replica.Weigh(0.5),
 	}
 
--- a/internal/measure/replay/act.go
+++ b/internal/measure/replay/act.go
@@ -70,7 +70,7 @@
 
 	row, err := w.book.Reserve(ledger.Row{
 		Key: ledger.Key{Target: d.Target, Model: d.Model}, Base: d.Base, Bytes: d.Bytes, Version: 1,
-		State: ledger.State{Phase: target.Loading, Own: true, Since: w.now, LastUsed: w.now},
+		State: ledger.State{Phase: target.Loading, OwnTerm: true, Since: w.now, LastUsed: w.now},
 	}, t.Memory)
 	if err != nil {
 		panic(err) // A policy that overcommits must not go unseen.
--- a/internal/measure/replay/replay.go
+++ b/internal/measure/replay/replay.go
@@ -120,7 +120,7 @@
 	now     time.Time
 	queue   events
 	seq     int
-	book    ledger.Book
+	book    ledger.Ledger
 	past    history.Book
 	waiting map[string][]waiter
 	running map[string]int
--- a/internal/placement/cell/engines.go
+++ b/internal/placement/cell/engines.go
@@ -289,7 +289,7 @@
 
 	switch p {
 	case target.Ready:
-		if r.State.Phase == target.Loading && r.State.Own && r.Base == "" {
+		if r.State.Phase == target.Loading && r.State.OwnTerm && r.Base == "" {
 			t.loadSpeed.add(r.Bytes, now.Sub(r.State.Since))
 		}
 
@@ -333,7 +333,7 @@
 		Process: t.cfg.Process,
 		WriteID: newID(),
 		State: ledger.State{
-			Phase: h.Phase, Own: true, Acknowledged: true, Incarnation: t.targets[id].inventory.Incarnation,
+			Phase: h.Phase, OwnTerm: true, Acknowledged: true, Incarnation: t.targets[id].inventory.Incarnation,
 			Retiring: true, Since: now, LastUsed: now,
 		},
 	})
--- a/internal/placement/cell/orders.go
+++ b/internal/placement/cell/orders.go
@@ -317,7 +317,7 @@
 // the former holder may not have ordered, and makes the engine ignore an order
 // that the former holder may still send.
 func (t *leaseTerm) needsOrder(r *ledger.Row, e *engineState) bool {
-	return !r.State.Own && !r.State.Acknowledged && !r.State.Retiring && e.usable
+	return !r.State.OwnTerm && !r.State.Acknowledged && !r.State.Retiring && e.usable
 }
 
 // idleEverywhere reports whether all entries have removed the replica from their
@@ -359,7 +359,7 @@
 // to have no order in flight.
 func (t *leaseTerm) noteWriterResolved(r *ledger.Row, now time.Time) {
 	switch {
-	case r.State.Own:
+	case r.State.OwnTerm:
 	case !t.writerResolved(r, now):
 		r.State.ResolvedSince = time.Time{}
 	case r.State.ResolvedSince.IsZero():
--- a/internal/placement/cell/publish.go
+++ b/internal/placement/cell/publish.go
@@ -74,7 +74,7 @@
 			Address:     e.Address,
 			Speed:       e.inventory.Speed,
 			Memory:      e.inventory.Memory,
-			Held:        t.ledger.Held(id),
+			Held:        t.ledger.UsedBytes(id),
 			Slots:       e.report.Slots,
 			Running:     e.report.Running,
 			Waiting:     e.report.Waiting,
--- a/internal/placement/cell/term.go
+++ b/internal/placement/cell/term.go
@@ -35,7 +35,7 @@
 
 	mu     sync.Mutex
 	held   lease.Holding
-	ledger ledger.Book
+	ledger ledger.Ledger
 	demand demand.Book
 	models map[string]weight.Checkpoint
 	// ledgerRead says that the ledger was read from the store, without which
@@ -371,7 +371,7 @@
 		Process: t.cfg.Process,
 		WriteID: newID(),
 		State: ledger.State{
-			Phase: target.Loading, Own: true, Since: now, LastUsed: now, Failures: t.loadFailures[d.Model],
+			Phase: target.Loading, OwnTerm: true, Since: now, LastUsed: now, Failures: t.loadFailures[d.Model],
 		},
 	}, e.inventory.Memory)
 	if err != nil {
--- a/internal/placement/ledger/ledger.go
+++ b/internal/placement/ledger/ledger.go
@@ -60,10 +60,10 @@
 	// Retiring says that the replica gets no new work and is unloaded once it
 	// is idle.
 	Retiring bool
-	// Own says that the row was written in this lease term, so that no other
+	// OwnTerm says that the row was written in this lease term, so that no other
 	// process has sent an order for it. Rows that were found in the store at
 	// the takeover are not: their writers may still have orders in flight.
-	Own bool
+	OwnTerm bool
 	// ResolvedSince is since when the row's writer is proved to have no order
 	// in flight. Zero means that it is not proved.
 	ResolvedSince time.Time
@@ -97,9 +97,9 @@
 	return fmt.Sprintf("ledger: %s is already counted on %s", e.Key.Model, e.Key.Target)
 }
 
-// Book is a cell's ledger in memory. The zero value is empty and ready to use.
+// Ledger is a cell's ledger in memory. The zero value is empty and ready to use.
 // It is not safe for concurrent use.
-type Book struct {
+type Ledger struct {
 	rows map[Key]*Row
 	// usedBytes sums the bytes of all rows by target. A row counts from before
 	// its write until its removal is proved, in every phase.
@@ -112,7 +112,7 @@
 
 // Reserve adds a row. It fails if the key is already counted, or if the
 // target's rows would exceed its memory.
-func (b *Book) Reserve(r Row, memory int64) (*Row, error) {
+func (b *Ledger) Reserve(r Row, memory int64) (*Row, error) {
 	if b.rows[r.Key] != nil {
 		return nil, &DuplicateError{Key: r.Key}
 	}
@@ -127,7 +127,7 @@
 // Adopt adds a row, whether it fits or not, for a replica that is or may be
 // loaded already: one whose row was found in the store, or one found on an
 // engine. If the key is already counted, Adopt returns the counted row.
-func (b *Book) Adopt(r Row) *Row {
+func (b *Ledger) Adopt(r Row) *Row {
 	if counted := b.rows[r.Key]; counted != nil {
 		return counted
 	}
@@ -144,7 +144,7 @@
 }
 
 // Remove deletes the row, if there is one.
-func (b *Book) Remove(k Key) {
+func (b *Ledger) Remove(k Key) {
 	row := b.rows[k]
 	if row == nil {
 		return
@@ -165,7 +165,7 @@
 	}
 }
 
-func (b *Book) init() {
+func (b *Ledger) init() {
 	if b.rows != nil {
 		return
 	}
@@ -196,22 +196,22 @@
 }
 
 // Row returns the row with the key, or nil.
-func (b *Book) Row(k Key) *Row { return b.rows[k] }
+func (b *Ledger) Row(k Key) *Row { return b.rows[k] }
 
 // Len returns the number of rows.
-func (b *Book) Len() int { return len(b.rows) }
+func (b *Ledger) Len() int { return len(b.rows) }
 
-// Held returns the bytes counted on the target.
-func (b *Book) Held(t instance.ID) int64 { return b.usedBytes[t] }
+// UsedBytes returns the bytes counted on the target.
+func (b *Ledger) UsedBytes(t instance.ID) int64 { return b.usedBytes[t] }
 
 // Model returns the model's rows, sorted by target.
-func (b *Book) Model(name string) []*Row { return b.models[name] }
+func (b *Ledger) Model(name string) []*Row { return b.models[name] }
 
 // Target returns the target's rows, sorted by model.
-func (b *Book) Target(t instance.ID) []*Row { return b.targets[t] }
+func (b *Ledger) Target(t instance.ID) []*Row { return b.targets[t] }
 
 // All calls f for every row.
-func (b *Book) All(f func(*Row)) {
+func (b *Ledger) All(f func(*Row)) {
 	for _, r := range b.rows {
 		f(r)
 	}
@@ -219,7 +219,7 @@
 
 // Dependents returns how many adapters on the target have the model as their
 // base.
-func (b *Book) Dependents(k Key) int {
+func (b *Ledger) Dependents(k Key) int {
 	n := 0
 
 	for _, r := range b.targets[k.Target] {
--- a/internal/placement/ledger/ledger_test.go
+++ b/internal/placement/ledger/ledger_test.go
@@ -19,7 +19,7 @@
 	const memory = 100
 
 	rapid.Check(t, func(t *rapid.T) {
-		var b Book
+		var b Ledger
 
 		reference := make(map[Key]Row)
 
@@ -66,8 +66,8 @@
 				delete(reference, k)
 			}
 
-			if b.Len() != len(reference) || b.Held(k.Target) != held(k.Target) {
-				t.Fatalf("ledger: %d rows, %d bytes; reference: %d, %d", b.Len(), b.Held(k.Target), len(reference), held(k.Target))
+			if b.Len() != len(reference) || b.UsedBytes(k.Target) != held(k.Target) {
+				t.Fatalf("ledger: %d rows, %d bytes; reference: %d, %d", b.Len(), b.UsedBytes(k.Target), len(reference), held(k.Target))
 			}
 
 			replicas := 0
@@ -86,7 +86,7 @@
 }
 
 func TestReserveErrors(t *testing.T) {
-	var b Book
+	var b Ledger
 
 	_, err := b.Reserve(Row{Key: Key{"t", "a"}, Bytes: 60}, 100)
 	assert.NilError(t, err)
@@ -120,15 +120,15 @@
 		e     Evidence
 		want  bool
 	}{
-		"own, answered":                                        {State{Own: true, Acknowledged: true, Incarnation: "i2"}, Evidence{Inventory: empty}, true},
-		"own, no order sent":                                   {State{Own: true}, Evidence{Inventory: empty}, true},
-		"own, still loaded":                                    {State{Own: true, Acknowledged: true, Incarnation: "i2"}, Evidence{Inventory: holding}, false},
-		"own, no inventory":                                    {State{Own: true, Acknowledged: true, Incarnation: "i2"}, Evidence{}, false},
-		"own, order in doubt":                                  {State{Own: true, InDoubtSince: now.Add(-time.Second)}, Evidence{Inventory: empty}, false},
-		"own, in doubt for longer than an order lives":         {State{Own: true, InDoubtSince: now.Add(-long)}, Evidence{Inventory: empty}, true},
-		"own, in doubt, an order answered by this incarnation": {State{Own: true, Acknowledged: true, Incarnation: "i2", InDoubtSince: now}, Evidence{Inventory: empty}, true},
+		"own, answered":                                        {State{OwnTerm: true, Acknowledged: true, Incarnation: "i2"}, Evidence{Inventory: empty}, true},
+		"own, no order sent":                                   {State{OwnTerm: true}, Evidence{Inventory: empty}, true},
+		"own, still loaded":                                    {State{OwnTerm: true, Acknowledged: true, Incarnation: "i2"}, Evidence{Inventory: holding}, false},
+		"own, no inventory":                                    {State{OwnTerm: true, Acknowledged: true, Incarnation: "i2"}, Evidence{}, false},
+		"own, order in doubt":                                  {State{OwnTerm: true, InDoubtSince: now.Add(-time.Second)}, Evidence{Inventory: empty}, false},
+		"own, in doubt for longer than an order lives":         {State{OwnTerm: true, InDoubtSince: now.Add(-long)}, Evidence{Inventory: empty}, true},
+		"own, in doubt, an order answered by this incarnation": {State{OwnTerm: true, Acknowledged: true, Incarnation: "i2", InDoubtSince: now}, Evidence{Inventory: empty}, true},
 		"own, in doubt, an order answered by an earlier incarnation": {
-			State{Own: true, Acknowledged: true, Incarnation: "i1", InDoubtSince: now}, Evidence{Inventory: empty}, false,
+			State{OwnTerm: true, Acknowledged: true, Incarnation: "i1", InDoubtSince: now}, Evidence{Inventory: empty}, false,
 		},
 		"adopted, writer not resolved, token raised": {
 			State{Acknowledged: true, Incarnation: "i2"}, Evidence{Inventory: empty, ChecksTokens: true, Token: 5}, false,
--- a/internal/placement/ledger/prove.go
+++ b/internal/placement/ledger/prove.go
@@ -59,7 +59,7 @@
 		return false
 	}
 
-	if !r.State.Own && !e.formerResolved() {
+	if !r.State.OwnTerm && !e.formerResolved() {
 		return false
 	}
 
--- a/internal/placement/replica/best.go
+++ b/internal/placement/replica/best.go
@@ -76,7 +76,7 @@
 	}
 
 	c := choice{at: at, ready: d.duration(cp, tierOf(t, cp.Name))}
-	need := d.Book.Held(t.ID) + d.taken[at] + cp.Bytes - t.Memory
+	need := d.Book.UsedBytes(t.ID) + d.taken[at] + cp.Bytes - t.Memory
 
 	if need > 0 {
 		if !evict || !d.findVictims(&c, t, cp, need) {
--- a/internal/placement/replica/decide_test.go
+++ b/internal/placement/replica/decide_test.go
@@ -20,7 +20,7 @@
 // scene builds a view with targets t0, t1, … of 100 bytes each.
 func scene(targets int, rows ...ledger.Row) *View {
 	v := &View{
-		Now: now, Book: &ledger.Book{}, Models: make(map[string]weight.Checkpoint),
+		Now: now, Book: &ledger.Ledger{}, Models: make(map[string]weight.Checkpoint),
 		FreeLoads: 4, FreeAdapterLoads: 32, BytesPerSecond: 10, Terms: Weigh(0.5),
 	}
 
@@ -298,7 +298,7 @@
 			held[d.Target] += d.Bytes
 			loaded[d.Model]++
 
-			if v.Book.Held(d.Target)+held[d.Target] > v.Targets[at].Memory {
+			if v.Book.UsedBytes(d.Target)+held[d.Target] > v.Targets[at].Memory {
 				t.Fatalf("%v overcommits %s", d, d.Target)
 			}
 
@@ -338,7 +338,7 @@
 	for _, size := range []struct{ targets, models int }{{13, 400}, {128, 4000}, {1280, 40000}} {
 		b.Run(fmt.Sprintf("targets=%d/models=%d", size.targets, size.models), func(b *testing.B) {
 			v := &View{
-				Now: now, Book: &ledger.Book{}, Models: make(map[string]weight.Checkpoint),
+				Now: now, Book: &ledger.Ledger{}, Models: make(map[string]weight.Checkpoint),
 				FreeLoads: 4, FreeAdapterLoads: 32, BytesPerSecond: 1e9, Terms: Weigh(0.5),
 			}
 
--- a/internal/placement/replica/replica.go
+++ b/internal/placement/replica/replica.go
@@ -83,7 +83,7 @@
 	Now time.Time
 	// Targets are sorted by id.
 	Targets []Target
-	Book    *ledger.Book
+	Book    *ledger.Ledger
 	Models  map[string]weight.Checkpoint
 	Demand  []Demand
 	// Forecast is nil when nothing is known of the models' use.
