--- a/internal/fleet/entry/members.go
+++ b/internal/fleet/entry/members.go
@@ -162,7 +162,7 @@
 			s.Leases = append(s.Leases, l)
 		}
 
-		if c.OrdersInHand() {
+		if c.OrdersInFlight() {
 			s.OrdersInHand = append(s.OrdersInHand, c.Number())
 		}
 	}
--- a/internal/fleet/entry/reports.go
+++ b/internal/fleet/entry/reports.go
@@ -125,7 +125,7 @@
 	}
 
 	if holder == "" {
-		holder = instance.Rank(cell.Name(c), e.fleet.Entries())[0]
+		holder = instance.Rank(cell.RankKey(c), e.fleet.Entries())[0]
 	}
 
 	return holder
--- a/internal/placement/cell/cell.go
+++ b/internal/placement/cell/cell.go
@@ -52,8 +52,8 @@
 	// Send sends a snapshot to an entry, this one included. It returns false if
 	// the entry could not apply the delta and needs a full snapshot.
 	Send func(ctx context.Context, to instance.ID, s *router.Snapshot) (bool, error)
-	// Nudge notifies an instance that a lease was released to it.
-	Nudge func(to instance.ID, cell int)
+	// NotifySuccessor notifies an instance that a lease was released to it.
+	NotifySuccessor func(to instance.ID, cell int)
 	// Lists returns the lists in force.
 	Lists func() plan.State
 	// Objects stores the models' histories, so that they survive a change of
@@ -62,13 +62,13 @@
 	Objects object.Store
 	Log     *timeline.Log
 	Logger  zerolog.Logger
-	Terms   lease.Timing
+	Timing  lease.Timing
 	Policy  replica.Terms
-	// Loads limits the loads that all cells together may have in flight.
-	Loads share.Amount
-	// AskShare asks the holder of the first cell for this cell's share of them.
+	// LoadLimit limits the loads that all cells together may have in flight.
+	LoadLimit share.Amount
+	// RequestShare asks the holder of the first cell for this cell's share of them.
 	// Nil means that there is only one cell, which has them all.
-	AskShare func(ctx context.Context, a share.Ask) (share.Amount, error)
+	RequestShare func(ctx context.Context, a share.Ask) (share.Amount, error)
 	// BytesPerSecond is the speed of a remote load that is assumed before the
 	// first loads have completed.
 	BytesPerSecond float64
@@ -112,15 +112,15 @@
 
 // New returns the control of a cell. Run starts it.
 func New(cfg Config) *Cell {
-	if cfg.Terms == (lease.Timing{}) {
-		cfg.Terms = lease.DefaultTiming()
+	if cfg.Timing == (lease.Timing{}) {
+		cfg.Timing = lease.DefaultTiming()
 	}
 
 	return &Cell{cfg: cfg, wake: make(chan struct{}, 1)}
 }
 
-// Name returns the rendezvous-hashing key that ranks the instances for a cell.
-func Name(cell int) string { return fmt.Sprintf("cell/%d", cell) }
+// RankKey returns the rendezvous-hashing key that ranks the instances for a cell.
+func RankKey(cell int) string { return fmt.Sprintf("cell/%d", cell) }
 
 // Of returns the cell that a target or a model belongs to, by rendezvous
 // hashing over the given number of cells.
@@ -128,7 +128,7 @@
 	best, highest := 0, uint64(0)
 
 	for c := range cells {
-		if s := instance.Score(name, instance.ID(Name(c))); s > highest {
+		if s := instance.Score(name, instance.ID(RankKey(c))); s > highest {
 			best, highest = c, s
 		}
 	}
@@ -178,16 +178,16 @@
 
 	rank := c.rank()
 	if draining || rank >= watchers {
-		return c.cfg.Terms.Poll
+		return c.cfg.Timing.Poll
 	}
 
 	c.checkLease(ctx, rank)
 
-	return c.cfg.Terms.Poll
+	return c.cfg.Timing.Poll
 }
 
 func (c *Cell) rank() int {
-	ranked := instance.Rank(Name(c.cfg.Cell), c.cfg.Fleet.Entries())
+	ranked := instance.Rank(RankKey(c.cfg.Cell), c.cfg.Fleet.Entries())
 
 	return slices.Index(ranked, c.cfg.Self)
 }
@@ -211,7 +211,7 @@
 
 	c.mu.Lock()
 	c.watch.Observe(rows[0].Version, current, now)
-	free := c.watch.Free(now, c.cfg.Terms, c.cfg.Self, rank)
+	free := c.watch.Free(now, c.cfg.Timing, c.cfg.Self, rank)
 	c.mu.Unlock()
 
 	if free {
@@ -236,7 +236,7 @@
 	}
 	sent := time.Now()
 
-	ctx, cancel := context.WithTimeout(ctx, c.cfg.Terms.Duration/2)
+	ctx, cancel := context.WithTimeout(ctx, c.cfg.Timing.Duration/2)
 	defer cancel()
 
 	version, err := table.Settle(ctx, c.cfg.Table, table.Transaction{
@@ -278,7 +278,7 @@
 		return 0
 	}
 
-	due := held.RenewalSent.Add(c.cfg.Terms.Renew)
+	due := held.RenewalSent.Add(c.cfg.Timing.Renew)
 	if wait := time.Until(due); wait > 0 {
 		return wait
 	}
@@ -287,7 +287,7 @@
 	next.WriteID = uuid.NewString()
 	sent := time.Now()
 
-	renewCtx, cancel := context.WithTimeout(ctx, c.cfg.Terms.Renew)
+	renewCtx, cancel := context.WithTimeout(ctx, c.cfg.Timing.Renew)
 	defer cancel()
 
 	version, err := c.row().Write(renewCtx, next, held.Version)
@@ -302,7 +302,7 @@
 		c.noteStore(true)
 	}
 
-	return c.cfg.Terms.Poll / 2 //nolint:mnd // Two attempts in a poll interval.
+	return c.cfg.Timing.Poll / 2 //nolint:mnd // Two attempts in a poll interval.
 }
 
 // noteStore records when the store becomes unavailable and available again.
@@ -424,9 +424,9 @@
 	return peer.Lease{Cell: c.cfg.Cell, Token: c.held.Token}, c.held.Token != 0
 }
 
-// OrdersInHand reports whether orders of this process to engines of the cell
+// OrdersInFlight reports whether orders of this process to engines of the cell
 // are in flight.
-func (c *Cell) OrdersInHand() bool { return c.inFlight.Load() > 0 }
+func (c *Cell) OrdersInFlight() bool { return c.inFlight.Load() > 0 }
 
 // Number returns the cell's number.
 func (c *Cell) Number() int { return c.cfg.Cell }
--- a/internal/placement/cell/failure_test.go
+++ b/internal/placement/cell/failure_test.go
@@ -487,7 +487,7 @@
 
 		before := time.Now()
 
-		time.Sleep(p.cfg.Terms.Duration)
+		time.Sleep(p.cfg.Timing.Duration)
 
 		expired := time.Now()
 
--- a/internal/placement/cell/handover.go
+++ b/internal/placement/cell/handover.go
@@ -20,7 +20,7 @@
 // shouldHandOver reports whether another instance has ranked first for longer
 // than rebalanceAfter.
 func (c *Cell) shouldHandOver() bool {
-	ranked := instance.Rank(Name(c.cfg.Cell), c.cfg.Fleet.Entries())
+	ranked := instance.Rank(RankKey(c.cfg.Cell), c.cfg.Fleet.Entries())
 	now := time.Now()
 
 	c.mu.Lock()
@@ -71,7 +71,7 @@
 	next.Successor = c.successor()
 	next.WriteID = uuid.NewString()
 
-	ctx, cancel := context.WithTimeout(ctx, c.cfg.Terms.Renew)
+	ctx, cancel := context.WithTimeout(ctx, c.cfg.Timing.Renew)
 	defer cancel()
 
 	if _, err := c.row().Release(ctx, next, held.Version); err != nil {
@@ -85,14 +85,14 @@
 		Detail: fmt.Sprintf("cell %d token %d to %s", c.cfg.Cell, held.Token, next.Successor),
 	})
 
-	if next.Successor != "" && c.cfg.Nudge != nil {
-		c.cfg.Nudge(next.Successor, c.cfg.Cell)
+	if next.Successor != "" && c.cfg.NotifySuccessor != nil {
+		c.cfg.NotifySuccessor(next.Successor, c.cfg.Cell)
 	}
 }
 
 // successor returns the other instance that ranks first for the cell, or "".
 func (c *Cell) successor() instance.ID {
-	for _, id := range instance.Rank(Name(c.cfg.Cell), c.cfg.Fleet.Entries()) {
+	for _, id := range instance.Rank(RankKey(c.cfg.Cell), c.cfg.Fleet.Entries()) {
 		if id != c.cfg.Self {
 			return id
 		}
--- a/internal/placement/cell/orders.go
+++ b/internal/placement/cell/orders.go
@@ -196,7 +196,7 @@
 // lease, it may be sent only to an engine that itself refuses former holders,
 // and only for a row whose write to the store is confirmed.
 func (t *leaseTerm) mayOrder(row *ledger.Row, now time.Time) bool {
-	if t.held.Valid(now, t.cfg.Terms) {
+	if t.held.Valid(now, t.cfg.Timing) {
 		return true
 	}
 
--- a/internal/placement/cell/shares.go
+++ b/internal/placement/cell/shares.go
@@ -31,8 +31,8 @@
 // loadShare returns how many loads the cell may have in flight at now.
 func (t *leaseTerm) loadShare(now time.Time) share.Amount {
 	switch {
-	case t.cfg.AskShare == nil:
-		return t.cfg.Loads
+	case t.cfg.RequestShare == nil:
+		return t.cfg.LoadLimit
 	case now.Before(t.grantedUntil):
 		return t.granted
 	}
@@ -50,7 +50,7 @@
 		a := share.Ask{Cell: t.cfg.Cell, Using: using, Want: t.desiredLoads(using, sent), Held: t.loadShare(sent)}
 		t.mu.Unlock()
 
-		granted, err := t.cfg.AskShare(t.ctx, a)
+		granted, err := t.cfg.RequestShare(t.ctx, a)
 
 		t.mu.Lock()
 		if err == nil {
@@ -84,6 +84,6 @@
 	}
 
 	return share.Amount{
-		Models: min(want.Models, t.cfg.Loads.Models), Adapters: min(want.Adapters, t.cfg.Loads.Adapters),
+		Models: min(want.Models, t.cfg.LoadLimit.Models), Adapters: min(want.Adapters, t.cfg.LoadLimit.Adapters),
 	}
 }
--- a/internal/placement/cell/term.go
+++ b/internal/placement/cell/term.go
@@ -76,7 +76,7 @@
 		targets:      make(map[instance.ID]*engineState),
 		loadFailures: make(map[string]int),
 		loadSpeed:    speed{perSecond: c.cfg.BytesPerSecond},
-		granter:      share.Granter{Total: c.cfg.Loads},
+		granter:      share.Granter{Total: c.cfg.LoadLimit},
 	}
 	t.granter.Started(t.since)
 
@@ -91,7 +91,7 @@
 		t.wg.Go(t.maintainHistory)
 	}
 
-	if t.cfg.AskShare != nil {
+	if t.cfg.RequestShare != nil {
 		t.wg.Go(t.requestShares)
 	}
 }
@@ -295,7 +295,7 @@
 // their own, because they wait for the store and the engines.
 func (t *leaseTerm) carryOut(decisions []replica.Decision, now time.Time) {
 	t.waits = t.waits[:0]
-	valid := t.held.Valid(now, t.cfg.Terms)
+	valid := t.held.Valid(now, t.cfg.Timing)
 
 	for _, d := range decisions {
 		switch d := d.(type) {
@@ -353,7 +353,7 @@
 func (t *leaseTerm) denyLoads() {
 	for i, w := range t.waits {
 		if rows := t.ledger.Model(w.Model); w.Reason == "" && len(rows) == 0 {
-			t.waits[i] = router.Wait{Model: w.Model, Reason: reasonNoLease, RetryAfter: t.cfg.Terms.Duration}
+			t.waits[i] = router.Wait{Model: w.Model, Reason: reasonNoLease, RetryAfter: t.cfg.Timing.Duration}
 		}
 	}
 }
--- a/internal/placement/cell/world_test.go
+++ b/internal/placement/cell/world_test.go
@@ -171,16 +171,16 @@
 		Dial: func(in instance.Instance) target.Engine {
 			return gatedEngine{w.engineOf(in.ID), w, p, p.gate}
 		},
-		ChecksTokens:   func(instance.ID) bool { return w.checks },
-		Leaving:        func(instance.ID) bool { return false },
-		Send:           w.send,
-		Nudge:          func(to instance.ID, _ int) { w.nudge(to) },
-		Lists:          func() plan.State { return plan.State{} },
-		Log:            &timeline.Log{Instance: id, Process: strconv.Itoa(number)},
-		Logger:         zerolog.Nop(),
-		Policy:         policy,
-		Loads:          share.Amount{Models: 4, Adapters: 32},
-		BytesPerSecond: float64(8 * gib),
+		ChecksTokens:    func(instance.ID) bool { return w.checks },
+		Leaving:         func(instance.ID) bool { return false },
+		Send:            w.send,
+		NotifySuccessor: func(to instance.ID, _ int) { w.nudge(to) },
+		Lists:           func() plan.State { return plan.State{} },
+		Log:             &timeline.Log{Instance: id, Process: strconv.Itoa(number)},
+		Logger:          zerolog.Nop(),
+		Policy:          policy,
+		LoadLimit:       share.Amount{Models: 4, Adapters: 32},
+		BytesPerSecond:  float64(8 * gib),
 	})
 
 	w.platform.Announce(instance.Instance{ID: id, Role: instance.Entry, State: instance.Live})
@@ -280,7 +280,7 @@
 			st.Leases = append(st.Leases, l)
 		}
 
-		if p.OrdersInHand() {
+		if p.OrdersInFlight() {
 			st.OrdersInHand = append(st.OrdersInHand, 0)
 		}
 
