--- a/internal/cli/member/settings.go
+++ b/internal/cli/member/settings.go
@@ -25,7 +25,7 @@
 	// Strength is the share of a processor that this instance has; zero means
 	// unknown.
 	Strength  float64
-	Allowance relay.Allowance
+	Allowance relay.RetryLimit
 	// Slack is what may pass beyond teams' limits.
 	Slack quota.Slack
 }
@@ -122,7 +122,7 @@
 		Strength:   d.Strength,
 		Grace:      c.span("bounds.graceSeconds", d.Bounds.GraceSeconds, time.Second),
 		TurnPause:  c.span("bounds.turnPauseMs", d.Bounds.TurnPauseMs, time.Millisecond),
-		Allowance: relay.Allowance{
+		Allowance: relay.RetryLimit{
 			Ratio: d.Bounds.RepeatRatio, Burst: d.Bounds.RepeatBurst,
 			Window: c.span("bounds.repeatWindowSeconds", d.Bounds.RepeatWindowSeconds, time.Second),
 		},
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -63,7 +63,7 @@
 	Strength float64
 	// Entries is how many entries there may be until the others are known.
 	Entries   int
-	Allowance relay.Allowance
+	Allowance relay.RetryLimit
 	// Slack is what may pass beyond teams' limits.
 	Slack quota.Slack
 	// Grace is how long a process may take to stop, and TurnPause for how long
@@ -88,7 +88,7 @@
 	work    context.Context
 	finish  context.CancelFunc
 	pool    relay.Pool
-	budgets relay.Budgets
+	budgets relay.RetryBudgets
 	page    metric.Page
 	metrics tally.Scope
 	calls   calls
@@ -152,9 +152,9 @@
 		changed: make(chan struct{}, 1), asked: make(chan struct{}, 1), idled: make(chan struct{}, 1),
 		absent: make(map[holder.Missing]absence),
 	}
-	n.budgets.Allowance = cfg.Allowance
+	n.budgets.Limit = cfg.Allowance
 	n.budgets.Started = time.Now()
-	n.budgets.Share(sharersUnknown)
+	n.budgets.SetEntries(sharersUnknown)
 	n.work, n.finish = context.WithCancel(context.Background())
 	n.peers.node = n
 	n.quotas.node, n.quotas.soon = n, make(chan struct{}, 1)
@@ -170,8 +170,8 @@
 		Demanded: func(string) { poke(n.asked) }, Idle: func() { poke(n.idled) }, Noticed: n.noticed, MaxWaiting: maxWaiting,
 	})
 	n.relay = &relay.Server{
-		Protocol: cfg.Protocol, Lines: n.lines, Pool: &n.pool, Budgets: &n.budgets,
-		Table: n.routes.Load, Confirm: n.confirm, Limits: &n.quotas, Absent: n.foundAbsent, Moved: n.foundMoved, Unreached: n.foundUnreached, Log: cfg.Log, Metrics: n.metrics,
+		Protocol: cfg.Protocol, Dispatcher: n.lines, Pool: &n.pool, Budgets: &n.budgets,
+		Table: n.routes.Load, RefreshTable: n.confirm, Limits: &n.quotas, OnModelAbsent: n.foundAbsent, OnAddressMoved: n.foundMoved, OnUnreachable: n.foundUnreached, Log: cfg.Log, Metrics: n.metrics,
 	}
 	n.holder = holder.New(holder.Config{
 		Self: cfg.Self, Strength: cfg.Strength, Process: n.process, Table: n.cfg.Table, Engines: cfg.Engines, Terms: terms, TurnPause: cfg.TurnPause,
@@ -185,7 +185,7 @@
 }
 
 // Allow replaces the allowance for sending requests once more.
-func (n *Node) Allow(a relay.Allowance) { n.budgets.Allow(a) }
+func (n *Node) Allow(a relay.RetryLimit) { n.budgets.SetLimit(a) }
 
 // maxWaiting bounds the requests that wait for one model on this entry.
 const maxWaiting = 256
@@ -208,7 +208,7 @@
 
 // Run serves until ctx ends, then stops gracefully.
 func (n *Node) Run(ctx context.Context) error {
-	listen := net.ListenConfig{KeepAliveConfig: relay.KeepAlive(), Control: relay.Control}
+	listen := net.ListenConfig{KeepAliveConfig: relay.KeepAliveConfig(), Control: relay.Control}
 
 	callers, err := listen.Listen(ctx, "tcp", n.cfg.Callers.String())
 	if err != nil {
@@ -236,7 +236,7 @@
 
 	front := &http.Server{
 		Handler: n.relay, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
-		ConnContext: relay.WithCaller,
+		ConnContext: relay.WithConn,
 		ErrorLog:    nil,
 	}
 	ready := &http.Server{Handler: n.checks(), ReadHeaderTimeout: headerTimeout}
@@ -304,7 +304,7 @@
 	began := time.Now()
 
 	n.stopping.Store(true)
-	n.relay.Enter(relay.Stopping)
+	n.relay.EnterPhase(relay.Draining)
 	n.quotas.release()
 	n.cfg.Log.Info().Int("running", n.relay.Running()).Msg("stopping")
 
@@ -320,9 +320,9 @@
 
 	_ = clock.Sleep(ctx, crossing-time.Since(began)) // It ends early only at the end of the grace.
 
-	n.relay.Enter(relay.Closing)
+	n.relay.EnterPhase(relay.RefusingNewStreams)
 
-	ending := time.AfterFunc(n.cfg.Grace-streamTime-time.Since(began), func() { n.relay.Enter(relay.Ending) })
+	ending := time.AfterFunc(n.cfg.Grace-streamTime-time.Since(began), func() { n.relay.EnterPhase(relay.RefusingUnstartedStreams) })
 	defer ending.Stop()
 
 	if err := front.Shutdown(ctx); err != nil {
@@ -433,9 +433,9 @@
 // sweep closes idle connections to targets and keeps the budgets' share.
 func (n *Node) sweep(ctx context.Context) {
 	for clock.Sleep(ctx, sweepEvery) == nil {
-		n.pool.Sweep(time.Now())
+		n.pool.CloseExpired(time.Now())
 		n.gauge()
-		n.budgets.Share(n.sharers())
+		n.budgets.SetEntries(n.sharers())
 
 		n.mu.Lock()
 
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -48,7 +48,7 @@
 func ask(t *testing.T, e *site.Entry, id, path, body, model string) site.Reply {
 	t.Helper()
 
-	r, err := site.Ask(t.Context(), e, path, body, relay.Ask{ID: id, Left: 8 * time.Second, Model: model, TokensIn: 10, TokensOut: 5})
+	r, err := site.Ask(t.Context(), e, path, body, relay.RequestInfo{ID: id, Timeout: 8 * time.Second, Model: model, TokensIn: 10, TokensOut: 5})
 	assert.NilError(t, err)
 
 	return r
--- a/internal/fleet/node/quotas.go
+++ b/internal/fleet/node/quotas.go
@@ -76,7 +76,7 @@
 
 // Charge implements relay.Limiter. It refuses at once what is beyond the limit,
 // and waits a moment only where its homes do not know yet what is left.
-func (q *quotas) Charge(ctx context.Context, t *team.Team, cost float64) relay.Charge {
+func (q *quotas) Charge(ctx context.Context, t *team.Team, cost float64) relay.ChargeResult {
 	until := time.Now().Add(unknownPatience)
 
 	for {
@@ -89,7 +89,7 @@
 
 // chargeNow puts the request to the homes of its team's limit. It reports whether
 // their answer is final.
-func (q *quotas) chargeNow(ctx context.Context, t *team.Team, cost float64) (out relay.Charge, known bool) {
+func (q *quotas) chargeNow(ctx context.Context, t *team.Team, cost float64) (out relay.ChargeResult, known bool) {
 	out.Unknown = true
 	settling := false
 
@@ -100,21 +100,21 @@
 		case err != nil || d.Stranger || d.Released || d.Part == 0:
 			continue
 		case d.Granted:
-			return relay.Charge{Granted: true}, true
+			return relay.ChargeResult{Granted: true}, true
 		case out.Unknown || d.Wait < out.RetryAfter:
 			out.RetryAfter = d.Wait
 		}
 
 		out.Unknown = false
-		out.Part += d.Part
+		out.Coverage += d.Part
 		settling = settling || d.Settling
 
-		if out.Part >= mostOfLimit {
+		if out.Coverage >= mostOfLimit {
 			break
 		}
 	}
 
-	return out, out.Part >= mostOfLimit && !settling
+	return out, out.Coverage >= mostOfLimit && !settling
 }
 
 // candidates returns whom to ask about a group: first who have this entry's own
--- a/internal/fleet/node/routing.go
+++ b/internal/fleet/node/routing.go
@@ -137,7 +137,7 @@
 		r.keys = make(map[keyParts]string)
 	}
 
-	key := relay.Key(service, model)
+	key := relay.RoutingKey(service, model)
 	if adapter != "" {
 		key += "/" + adapter
 	}
--- a/internal/fleet/node/teams_test.go
+++ b/internal/fleet/node/teams_test.go
@@ -29,7 +29,7 @@
 func look(t *testing.T, e *site.Entry, id, key string) site.Reply {
 	t.Helper()
 
-	a := relay.Ask{ID: id, Left: 2 * time.Second}
+	a := relay.RequestInfo{ID: id, Timeout: 2 * time.Second}
 	if key != "" {
 		a.Credentials = []string{"Bearer " + key}
 	}
--- a/internal/serving/relay/budget.go
+++ b/internal/serving/relay/budget.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Allowance is the operators' limit on the retries of all entries together: in
+// RetryLimit is the operators' limit on the retries of all entries together: in
 // each window, Ratio times the number of requests plus Burst.
-type Allowance struct {
+type RetryLimit struct {
 	Ratio float64
 	Burst float64
 	// Window is the period over which the burst is granted once.
@@ -18,13 +18,13 @@
 // that are counted on one side of a window's boundary and retried on the other.
 const usableShare = 0.85
 
-// Budgets holds a retry budget for each service. Set the limit before use.
+// RetryBudgets holds a retry budget for each service. Set the limit before use.
 //
-// Budgets prevents a retry storm when many targets fail at once. Each entry has
+// RetryBudgets prevents a retry storm when many targets fail at once. Each entry has
 // an equal share of the burst and adds to its budget with its own requests, so
 // the entries together stay within the limit without coordination.
-type Budgets struct {
-	Allowance Allowance
+type RetryBudgets struct {
+	Limit RetryLimit
 	// Started is when this process started; zero means long ago. The budgets of
 	// a new process start empty, because the previous process on its instance
 	// may have spent the whole budget just before it ended.
@@ -41,16 +41,16 @@
 	updated time.Time
 }
 
-// Allow replaces the limit after a change of the settings.
-func (b *Budgets) Allow(a Allowance) {
+// SetLimit replaces the limit after a change of the settings.
+func (b *RetryBudgets) SetLimit(a RetryLimit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	b.Allowance = a
+	b.Limit = a
 }
 
-// Share sets the number of entries that share the burst.
-func (b *Budgets) Share(entries int) {
+// SetEntries sets the number of entries that share the burst.
+func (b *RetryBudgets) SetEntries(entries int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
@@ -59,17 +59,17 @@
 
 // Deposit adds the share of a retry that a request's first attempt earns for
 // its service.
-func (b *Budgets) Deposit(service string, now time.Time) {
+func (b *RetryBudgets) Deposit(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
 	bk := b.bucket(service, now)
-	bk.tokens = min(bk.tokens+b.Allowance.Ratio*usableShare, b.capacity())
+	bk.tokens = min(bk.tokens+b.Limit.Ratio*usableShare, b.capacity())
 }
 
 // TryWithdraw reports whether a request to the service may be retried, and
 // debits one token if so.
-func (b *Budgets) TryWithdraw(service string, now time.Time) bool {
+func (b *RetryBudgets) TryWithdraw(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
@@ -86,15 +86,15 @@
 // halfBurst is half of this entry's share of the burst. A bucket holds that
 // much and is refilled with as much in each window, so that no window sees more
 // than the whole share.
-func (b *Budgets) halfBurst() float64 { return b.Allowance.Burst * usableShare * b.share / 2 } //nolint:mnd // Half of the share.
+func (b *RetryBudgets) halfBurst() float64 { return b.Limit.Burst * usableShare * b.share / 2 } //nolint:mnd // Half of the share.
 
 // capacity is what a bucket holds: at least one token, since a smaller bucket
 // would never allow a retry.
-func (b *Budgets) capacity() float64 { return max(1, b.halfBurst()) }
+func (b *RetryBudgets) capacity() float64 { return max(1, b.halfBurst()) }
 
 // bucket returns the service's bucket, refilled for the time since its last
 // use.
-func (b *Budgets) bucket(service string, now time.Time) *bucket {
+func (b *RetryBudgets) bucket(service string, now time.Time) *bucket {
 	if b.buckets == nil {
 		b.buckets = make(map[string]*bucket)
 	}
@@ -109,8 +109,8 @@
 		b.buckets[service] = bk
 	}
 
-	if b.Allowance.Window > 0 {
-		bk.tokens = min(bk.tokens+b.halfBurst()*float64(now.Sub(bk.updated))/float64(b.Allowance.Window), b.capacity())
+	if b.Limit.Window > 0 {
+		bk.tokens = min(bk.tokens+b.halfBurst()*float64(now.Sub(bk.updated))/float64(b.Limit.Window), b.capacity())
 	}
 
 	bk.updated = now
--- a/internal/serving/relay/budget_test.go
+++ b/internal/serving/relay/budget_test.go
@@ -17,15 +17,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
 
-		allowed := Allowance{
+		allowed := RetryLimit{
 			Ratio: rapid.Float64Range(0, 0.5).Draw(t, "ratio"), Burst: rapid.Float64Range(20, 100).Draw(t, "burst"), Window: window,
 		}
 		entries := rapid.IntRange(1, 16).Draw(t, "entries")
-		all := make([]Budgets, entries)
+		all := make([]RetryBudgets, entries)
 
 		for i := range all {
-			all[i].Allowance = allowed
-			all[i].Share(entries)
+			all[i].Limit = allowed
+			all[i].SetEntries(entries)
 		}
 
 		var requests, repeats []time.Time
@@ -37,8 +37,8 @@
 			b := &all[rapid.IntRange(0, entries-1).Draw(t, "entry")]
 
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
-				*b = Budgets{Allowance: allowed, Started: now}
-				b.Share(entries)
+				*b = RetryBudgets{Limit: allowed, Started: now}
+				b.SetEntries(entries)
 			}
 
 			b.Deposit("s", now)
--- a/internal/serving/relay/caller.go
+++ b/internal/serving/relay/caller.go
@@ -12,9 +12,9 @@
 // connKey is the context key of the client's connection.
 type connKey struct{}
 
-// WithCaller stores the client's connection in the context for Server. Use it
+// WithConn stores the client's connection in the context for Server. Use it
 // as the ConnContext of the http.Server in front.
-func WithCaller(ctx context.Context, c net.Conn) context.Context {
+func WithConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
--- a/internal/serving/relay/caller_test.go
+++ b/internal/serving/relay/caller_test.go
@@ -34,7 +34,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 
-	front := &http.Server{Handler: w.server, ConnContext: WithCaller, ReadHeaderTimeout: time.Second}
+	front := &http.Server{Handler: w.server, ConnContext: WithConn, ReadHeaderTimeout: time.Second}
 	go func() { _ = front.Serve(l) }()
 
 	defer func() { _ = front.Close() }()
@@ -89,7 +89,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var looks atomic.Int64
 
-		ctx, cancel := context.WithCancel(WithCaller(t.Context(), slowConn{looks: &looks}))
+		ctx, cancel := context.WithCancel(WithConn(t.Context(), slowConn{looks: &looks}))
 		end := watchClose(ctx, func() { t.Error("the client has not closed its connection") })
 
 		time.Sleep(closeCheckInterval + closeCheckInterval/4) // During the first check.
--- a/internal/serving/relay/conn.go
+++ b/internal/serving/relay/conn.go
@@ -135,8 +135,8 @@
 	p.idle[c.key] = append(p.idle[c.key], c)
 }
 
-// Sweep closes the connections that have been idle for too long.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes the connections that have been idle for too long.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -199,9 +199,9 @@
 	tcpUserTimeout = 18
 )
 
-// KeepAlive returns the TCP keep-alive configuration for all connections of a
+// KeepAliveConfig returns the TCP keep-alive configuration for all connections of a
 // process.
-func KeepAlive() net.KeepAliveConfig {
+func KeepAliveConfig() net.KeepAliveConfig {
 	return net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveCount}
 }
 
@@ -221,7 +221,7 @@
 
 // Dialer returns a dialer whose connections detect an unresponsive other end.
 func Dialer(timeout time.Duration) *net.Dialer {
-	return &net.Dialer{Timeout: timeout, KeepAliveConfig: KeepAlive(), Control: Control}
+	return &net.Dialer{Timeout: timeout, KeepAliveConfig: KeepAliveConfig(), Control: Control}
 }
 
 // Dial opens a connection to a target.
--- a/internal/serving/relay/deliver.go
+++ b/internal/serving/relay/deliver.go
@@ -66,11 +66,11 @@
 		}
 
 		err = d.attempt(ctx, t)
-		d.Lines.Return(t, d.req, d.suspect)
+		d.Dispatcher.Return(t, d.req, d.suspect)
 
 		if err == nil {
 			if d.suspect {
-				d.Lines.Cleared(d.req.Fingerprint())
+				d.Dispatcher.Cleared(d.req.Fingerprint())
 			}
 
 			return nil
@@ -97,18 +97,18 @@
 }
 
 func (d *delivery) acquire(ctx context.Context) (*router.Target, error) {
-	if d.reached(Ending) && !d.headSent && d.route.Kind == route.Stream {
+	if d.reached(RefusingUnstartedStreams) && !d.headSent && d.route.Kind == route.Stream {
 		return nil, stoppingRefusal()
 	}
 
 	q := router.Query{Suspect: d.suspect, Exclude: d.exclude}
-	if d.info.Shared != "" {
-		q.Affinity = d.req.Model + " " + d.info.Shared
+	if d.info.SharedPrompt != "" {
+		q.Affinity = d.req.Model + " " + d.info.SharedPrompt
 	}
 
 	began := time.Now()
 	waitLog := time.AfterFunc(waitLogDelay, func() { d.logWaiting() })
-	t, cold, err := d.Lines.Acquire(ctx, d.req, q)
+	t, cold, err := d.Dispatcher.Acquire(ctx, d.req, q)
 
 	waitLog.Stop()
 
@@ -130,7 +130,7 @@
 // logWaiting logs that a request waits and why the targets that hold its model
 // cannot accept it.
 func (d *delivery) logWaiting() {
-	s := d.Lines.Standing(d.req.Model)
+	s := d.Dispatcher.Standing(d.req.Model)
 	d.Log.Info().Str("id", d.info.ID).Str("key", d.req.Model).Int("holders", s.Holders).Int("full", s.Full).
 		Int("leaving", s.Leaving).Int("dead", s.Dead).Int("ejected", s.Ejected).Msg("request waits")
 }
@@ -145,7 +145,7 @@
 // mayRetry reports whether the request may be retried after err.
 func (d *delivery) mayRetry(ctx context.Context, err error) bool {
 	var clientErr *callerError
-	if errors.As(err, &clientErr) || ctx.Err() != nil || d.trail.Sends() >= maxAttempts || d.reached(Ending) && !d.headSent {
+	if errors.As(err, &clientErr) || ctx.Err() != nil || d.trail.Sends() >= maxAttempts || d.reached(RefusingUnstartedStreams) && !d.headSent {
 		return false
 	}
 
@@ -203,7 +203,7 @@
 	}
 
 	for !d.Budgets.TryWithdraw(d.service, time.Now()) {
-		if d.reached(Ending) && !d.headSent {
+		if d.reached(RefusingUnstartedStreams) && !d.headSent {
 			return stoppingRefusal()
 		}
 
@@ -235,14 +235,14 @@
 
 	lastEvent := d.lastEvent
 	if lastEvent == "" {
-		lastEvent = d.info.After
+		lastEvent = d.info.LastEvent
 	}
 
 	out := &outgoing{
 		method: d.r.Method, uri: d.r.RequestURI, host: d.r.Host, id: d.info.ID,
-		header: d.Protocol.Outgoing(d.r.Header, Sending{
-			Left: d.deadline.Sub(sent), Target: t.ID, After: lastEvent, Ranked: d.prioritised, Priority: d.priority(),
-			Keyed: d.keysInUse, Team: d.teamName(),
+		header: d.Protocol.Outgoing(d.r.Header, Attempt{
+			Timeout: d.deadline.Sub(sent), Target: t.ID, LastEvent: lastEvent, Prioritised: d.prioritised, Priority: d.priority(),
+			DropCredentials: d.keysInUse, Team: d.teamName(),
 		}),
 		body: d.body, hasBody: d.r.ContentLength != 0, newConn: !d.route.Repeatable(),
 	}
@@ -300,8 +300,8 @@
 		return false
 	}
 
-	if d.Unreached != nil {
-		d.Unreached(t)
+	if d.OnUnreachable != nil {
+		d.OnUnreachable(t)
 	}
 
 	return true
@@ -319,9 +319,9 @@
 
 	switch {
 	case a.mark.Misdirected && a.mark.Instance != "" && a.mark.Instance != t.ID:
-		d.Moved(t)
+		d.OnAddressMoved(t)
 	case a.mark.Misdirected:
-		d.Absent(t, d.req.Model)
+		d.OnModelAbsent(t, d.req.Model)
 	}
 
 	return &RejectedError{Target: t.ID, Status: a.StatusCode}
@@ -360,7 +360,7 @@
 	d.recordDeath(t, incarnation, time.Now())
 	d.Log.Warn().Str("id", d.info.ID).Str("target", string(t.ID)).Msg("target died under a request")
 
-	if d.Lines.Died(d.req.Fingerprint(), crash.Death{Target: t.ID, Incarnation: incarnation}) {
+	if d.Dispatcher.Died(d.req.Fingerprint(), crash.Death{Target: t.ID, Incarnation: incarnation}) {
 		return d.trail.Refuse(request.Poisoned, 0, "targets crashed while they ran this request")
 	}
 
--- a/internal/serving/relay/exchange.go
+++ b/internal/serving/relay/exchange.go
@@ -29,7 +29,7 @@
 type answer struct {
 	*http.Response
 
-	mark Mark
+	mark AnswerInfo
 	conn *conn
 	// longBody is set if the target may have answered before it had read the
 	// whole request.
--- a/internal/serving/relay/identify.go
+++ b/internal/serving/relay/identify.go
@@ -15,19 +15,19 @@
 // Limiter charges requests to their teams' limits.
 type Limiter interface {
 	// Charge charges a request to the team's limit, or refuses it.
-	Charge(ctx context.Context, t *team.Team, cost float64) Charge
+	Charge(ctx context.Context, t *team.Team, cost float64) ChargeResult
 	// Refund returns what was charged for a request that did not run.
 	Refund(t *team.Team, cost float64)
 }
 
-// Charge is a limiter's decision on a request.
-type Charge struct {
+// ChargeResult is a limiter's decision on a request.
+type ChargeResult struct {
 	Granted bool
 	// Unknown is set if no owner of the limit could state what is left of it.
 	Unknown bool
-	// Part is the fraction of the limit whose owners took part in the decision,
+	// Coverage is the fraction of the limit whose owners took part in the decision,
 	// from 0 to 1.
-	Part float64
+	Coverage float64
 	// RetryAfter is when the limit allows the request again.
 	RetryAfter time.Duration
 }
@@ -73,15 +73,15 @@
 // it first makes sure that no newer configuration contains it. Entries that
 // receive a change later than others would otherwise refuse clients with new
 // keys.
-func (s *Server) matchRoute(r *http.Request, table *route.Table, info Ask) (matchedRoute, error) {
+func (s *Server) matchRoute(r *http.Request, table *route.Table, info RequestInfo) (matchedRoute, error) {
 	p, err := matchIn(r, table, info)
 
 	var unknown *UnknownKeyError
-	if s.Confirm == nil || !errors.As(err, &unknown) {
+	if s.RefreshTable == nil || !errors.As(err, &unknown) {
 		return p, err
 	}
 
-	s.Confirm(r.Context())
+	s.RefreshTable(r.Context())
 
 	if newer := s.Table(); newer != table {
 		return matchIn(r, newer, info)
@@ -90,7 +90,7 @@
 	return p, err
 }
 
-func matchIn(r *http.Request, table *route.Table, info Ask) (matchedRoute, error) {
+func matchIn(r *http.Request, table *route.Table, info RequestInfo) (matchedRoute, error) {
 	p := matchedRoute{table: table, route: table.Match(r.Host, r.URL.EscapedPath())}
 	if p.route == nil {
 		return p, nil
@@ -118,7 +118,7 @@
 		return true
 	}
 
-	cost := d.team.Limit.Cost(d.info.TokensIn+d.info.TokensOut, d.info.TokensNamed)
+	cost := d.team.Limit.Cost(d.info.TokensIn+d.info.TokensOut, d.info.TokensGiven)
 	began := time.Now()
 	result := d.Limits.Charge(d.r.Context(), d.team, cost)
 	took := time.Since(began)
@@ -135,7 +135,7 @@
 	}
 
 	d.Log.Info().Str("id", d.info.ID).Str("team", d.team.Name).Float64("cost", cost).
-		Float64("perSecond", d.team.Limit.PerSecond).Float64("burst", d.team.Limit.Burst).Float64("part", result.Part).Dur("asked", took).
+		Float64("perSecond", d.team.Limit.PerSecond).Float64("burst", d.team.Limit.Burst).Float64("part", result.Coverage).Dur("asked", took).
 		Int("status", status).Dur("retryAfter", retryAfter).Str("why", why).Msg("request refused")
 	d.count(kindNames[d.route.Kind], status)
 	writeRefusal(d.w, status, retryAfter)
--- a/internal/serving/relay/identify_test.go
+++ b/internal/serving/relay/identify_test.go
@@ -23,18 +23,18 @@
 // keyedProtocol is testProtocol for clients with keys.
 type keyedProtocol struct{ testProtocol }
 
-func (p keyedProtocol) Parse(h http.Header) (Ask, error) {
+func (p keyedProtocol) Parse(h http.Header) (RequestInfo, error) {
 	a, err := p.testProtocol.Parse(h)
 	a.Credentials = h["Authorization"]
 	a.TokensIn, _ = strconv.Atoi(h.Get("Tokens"))
-	a.TokensNamed = h.Get("Tokens") != ""
+	a.TokensGiven = h.Get("Tokens") != ""
 
 	return a, err
 }
 
-func (p keyedProtocol) Outgoing(in http.Header, s Sending) http.Header {
+func (p keyedProtocol) Outgoing(in http.Header, s Attempt) http.Header {
 	out := p.testProtocol.Outgoing(in, s)
-	if s.Keyed {
+	if s.DropCredentials {
 		out.Del("Authorization")
 	}
 
@@ -144,7 +144,7 @@
 		newer.Teams = newTeams(t, teamWithKey("c", "kc"))
 		checks := 0
 
-		w.server.Confirm = func(context.Context) {
+		w.server.RefreshTable = func(context.Context) {
 			checks++
 			w.table = route.NewTable(&newer)
 		}
@@ -170,14 +170,14 @@
 	unknown bool
 }
 
-func (l *fakeLimiter) Charge(_ context.Context, _ *team.Team, cost float64) Charge {
+func (l *fakeLimiter) Charge(_ context.Context, _ *team.Team, cost float64) ChargeResult {
 	if l.unknown || l.left < cost {
-		return Charge{Unknown: l.unknown, RetryAfter: 1500 * time.Millisecond}
+		return ChargeResult{Unknown: l.unknown, RetryAfter: 1500 * time.Millisecond}
 	}
 
 	l.left -= cost
 
-	return Charge{Granted: true}
+	return ChargeResult{Granted: true}
 }
 
 func (l *fakeLimiter) Refund(_ *team.Team, cost float64) { l.left += cost }
--- a/internal/serving/relay/pass.go
+++ b/internal/serving/relay/pass.go
@@ -71,7 +71,7 @@
 // A target under load may pause for seconds and then go on. Without a retry
 // left, closing its connection would lose the rest of the answer.
 func (d *delivery) closeSilent(a *answer) {
-	if d.runs >= d.route.Attempts || d.reached(Stopping) || !d.Budgets.TryWithdraw(d.service, time.Now()) {
+	if d.runs >= d.route.Attempts || d.reached(Draining) || !d.Budgets.TryWithdraw(d.service, time.Now()) {
 		return
 	}
 
--- a/internal/serving/relay/protocol.go
+++ b/internal/serving/relay/protocol.go
@@ -14,60 +14,60 @@
 // Protocol reads and writes the headers that clients and targets use.
 type Protocol interface {
 	// Parse reads a client's headers. It fails with a *BadRequestError.
-	Parse(h http.Header) (Ask, error)
+	Parse(h http.Header) (RequestInfo, error)
 	// Outgoing returns the headers of a request to a target, without those that
 	// a client must not set.
-	Outgoing(in http.Header, s Sending) http.Header
+	Outgoing(in http.Header, s Attempt) http.Header
 	// Incoming returns the headers of an answer that are forwarded to the
 	// client.
 	Incoming(in http.Header) http.Header
 	// Answer reads the headers by which a target describes its answer.
-	Answer(status int, h http.Header) Mark
+	Answer(status int, h http.Header) AnswerInfo
 }
 
-// Ask is the information about a request in a client's headers.
-type Ask struct {
+// RequestInfo is the information about a request in a client's headers.
+type RequestInfo struct {
 	// ID is unique to this request; a client that sends the same content again
 	// uses a new one.
 	ID string
-	// Left is how long the client waits; zero means that it did not say.
-	Left time.Duration
+	// Timeout is how long the client waits; zero means that it did not say.
+	Timeout time.Duration
 	// Model is a model, or a model and an adapter, separated by a slash.
 	Model string
-	// Prompt identifies the parts of the prompt, and Shared those that other
+	// Prompt identifies the parts of the prompt, and SharedPrompt those that other
 	// requests have as well.
-	Prompt, Shared string
+	Prompt, SharedPrompt string
 	// TokensIn is the size of the prompt, TokensOut the maximum size of the
 	// answer. Neither is negative.
 	TokensIn, TokensOut int
-	// TokensNamed is set if the client stated these sizes.
-	TokensNamed bool
+	// TokensGiven is set if the client stated these sizes.
+	TokensGiven bool
 	// Credentials are the header lines that identify the client. They are
 	// secret.
 	Credentials []string
-	// After is the id of the last event that the client received of a stream
+	// LastEvent is the id of the last event that the client received of a stream
 	// that broke off.
-	After string
+	LastEvent string
 }
 
-// Sending describes one attempt to the target.
-type Sending struct {
-	// Left is how long the target may work.
-	Left   time.Duration
-	Target instance.ID
-	// After is the id of the last event that the client received.
-	After string
-	// Ranked is set if the target orders its work by Priority.
-	Ranked   bool
-	Priority int
-	// Keyed is set if clients authenticate with keys, which must not be
+// Attempt describes one attempt to the target.
+type Attempt struct {
+	// Timeout is how long the target may work.
+	Timeout time.Duration
+	Target  instance.ID
+	// LastEvent is the id of the last event that the client received.
+	LastEvent string
+	// Prioritised is set if the target orders its work by Priority.
+	Prioritised bool
+	Priority    int
+	// DropCredentials is set if clients authenticate with keys, which must not be
 	// forwarded. Team is the client's team, if it is known.
-	Keyed bool
-	Team  string
+	DropCredentials bool
+	Team            string
 }
 
-// Mark describes an answer, as its headers state.
-type Mark struct {
+// AnswerInfo describes an answer, as its headers state.
+type AnswerInfo struct {
 	// ID is the id of the request that the answer belongs to, if stated.
 	ID string
 	// Signed is set if a target's program wrote the answer.
--- a/internal/serving/relay/relay_test.go
+++ b/internal/serving/relay/relay_test.go
@@ -30,23 +30,23 @@
 // the platform.
 type testProtocol struct{}
 
-func (testProtocol) Parse(h http.Header) (Ask, error) {
+func (testProtocol) Parse(h http.Header) (RequestInfo, error) {
 	if h.Get("Id") == "" {
-		return Ask{}, &BadRequestError{Reason: "no id"}
+		return RequestInfo{}, &BadRequestError{Reason: "no id"}
 	}
 
 	ms, _ := strconv.Atoi(h.Get("Left"))
 
-	return Ask{ID: h.Get("Id"), Left: time.Duration(ms) * time.Millisecond, Model: h.Get("Model"), After: h.Get("After")}, nil
+	return RequestInfo{ID: h.Get("Id"), Timeout: time.Duration(ms) * time.Millisecond, Model: h.Get("Model"), LastEvent: h.Get("After")}, nil
 }
 
-func (testProtocol) Outgoing(in http.Header, s Sending) http.Header {
+func (testProtocol) Outgoing(in http.Header, s Attempt) http.Header {
 	out := in.Clone()
-	out.Set("Left", strconv.FormatInt(s.Left.Milliseconds(), 10))
+	out.Set("Left", strconv.FormatInt(s.Timeout.Milliseconds(), 10))
 	out.Set("Target", string(s.Target))
 
-	if s.After != "" {
-		out.Set("After", s.After)
+	if s.LastEvent != "" {
+		out.Set("After", s.LastEvent)
 	}
 
 	return out
@@ -60,8 +60,8 @@
 	return out
 }
 
-func (testProtocol) Answer(status int, h http.Header) Mark {
-	return Mark{
+func (testProtocol) Answer(status int, h http.Header) AnswerInfo {
+	return AnswerInfo{
 		ID: h.Get("Id"), Signed: h.Get("Signed") != "", NotRun: h.Get("Not-Run") != "",
 		Misdirected: status == http.StatusMisdirectedRequest, KeepAlive: time.Minute,
 	}
@@ -114,14 +114,14 @@
 	targets := &router.Table{}
 	w.server = &Server{
 		Protocol: testProtocol{}, Pool: &Pool{Dial: w.dial}, Table: func() *route.Table { return w.table },
-		Budgets: &Budgets{Allowance: Allowance{Ratio: 0.2, Burst: 100, Window: 10 * time.Second}},
-		Lines: dispatch.New(dispatch.Config{
+		Budgets: &RetryBudgets{Limit: RetryLimit{Ratio: 0.2, Burst: 100, Window: 10 * time.Second}},
+		Dispatcher: dispatch.New(dispatch.Config{
 			Table: targets, Entries: func() int { return 1 }, CellOf: func(string) int { return 0 },
 			Demanded: func(string) {}, Noticed: func(dispatch.Notice) {},
 		}),
-		Absent: func(*router.Target, string) {}, Moved: func(*router.Target) {}, Log: zerolog.Nop(),
+		OnModelAbsent: func(*router.Target, string) {}, OnAddressMoved: func(*router.Target) {}, Log: zerolog.Nop(),
 	}
-	w.server.Budgets.Share(1)
+	w.server.Budgets.SetEntries(1)
 	w.targets = targets
 	w.listTargets(1)
 
@@ -394,7 +394,7 @@
 // close ends the targets' goroutines, so that the synctest bubble can end.
 func (w *fixture) close() {
 	time.Sleep(2 * time.Minute)
-	w.server.Pool.Sweep(time.Now())
+	w.server.Pool.CloseExpired(time.Now())
 	synctest.Wait()
 }
 
@@ -538,7 +538,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		act := func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "200 OK", "", "done") }
 		w := newFixture(t, act, route.Route{Kind: route.Once, Timeout: time.Second})
-		w.server.Enter(Closing)
+		w.server.EnterPhase(RefusingNewStreams)
 
 		rec, _ := w.do(t.Context(), "")
 		assert.Equal(t, rec.Code, http.StatusOK)
@@ -560,7 +560,7 @@
 		w := newFixture(t, nil, route.Route{Kind: route.Stream, Timeout: time.Minute})
 		w.config.Services["s"] = route.Service{Name: "s", Engine: &route.Engine{}}
 
-		time.AfterFunc(time.Second, func() { w.server.Enter(Ending) })
+		time.AfterFunc(time.Second, func() { w.server.EnterPhase(RefusingUnstartedStreams) })
 
 		began := time.Now()
 		rec, _ := w.do(t.Context(), "", "Model", "cold")
@@ -579,8 +579,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newFixture(t, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "503 Full", "Not-Run: 1\r\n", "") },
 			route.Route{Kind: route.Stream, Timeout: time.Minute, Goal: 10 * time.Second})
-		w.server.Budgets.Allow(Allowance{Burst: 1, Window: time.Hour})
-		time.AfterFunc(time.Second, func() { w.server.Enter(Ending) })
+		w.server.Budgets.SetLimit(RetryLimit{Burst: 1, Window: time.Hour})
+		time.AfterFunc(time.Second, func() { w.server.EnterPhase(RefusingUnstartedStreams) })
 
 		began := time.Now()
 		rec, _ := w.do(t.Context(), "", "Left", "60000")
@@ -603,7 +603,7 @@
 
 			_, _ = fmt.Fprintf(w, "%x\r\n%s\r\n0\r\n\r\n", len(event(3)), event(3))
 		}, route.Route{Kind: route.Stream, Resumable: true, Timeout: 9 * time.Second})
-		w.server.Budgets.Allow(Allowance{Burst: 1, Window: time.Hour})
+		w.server.Budgets.SetLimit(RetryLimit{Burst: 1, Window: time.Hour})
 		assert.Assert(t, w.server.Budgets.TryWithdraw("s", time.Now()))
 
 		rec, aborted := w.do(t.Context(), "")
--- a/internal/serving/relay/server.go
+++ b/internal/serving/relay/server.go
@@ -26,28 +26,28 @@
 // Server answers clients' requests through targets. Set the exported fields
 // before use.
 type Server struct {
-	Protocol Protocol
-	Lines    *dispatch.Dispatcher
-	Pool     *Pool
-	Budgets  *Budgets
+	Protocol   Protocol
+	Dispatcher *dispatch.Dispatcher
+	Pool       *Pool
+	Budgets    *RetryBudgets
 	// Table returns the routes in force, or nil before a configuration was
 	// received.
 	Table func() *route.Table
-	// Confirm makes sure that Table returns the routes that are in force now,
+	// RefreshTable makes sure that Table returns the routes that are in force now,
 	// within a short time. Nil means that it always does.
-	Confirm func(ctx context.Context)
+	RefreshTable func(ctx context.Context)
 	// Limits charges requests to teams' limits. If nil, limits are not
 	// enforced.
 	Limits Limiter
-	// Absent is called when a target reports that it does not hold the model of
+	// OnModelAbsent is called when a target reports that it does not hold the model of
 	// the key.
-	Absent func(t *router.Target, key string)
-	// Moved is called when another instance has a target's address.
-	Moved func(t *router.Target)
-	// Unreached is called when a target is found to accept no connection, but
+	OnModelAbsent func(t *router.Target, key string)
+	// OnAddressMoved is called when another instance has a target's address.
+	OnAddressMoved func(t *router.Target)
+	// OnUnreachable is called when a target is found to accept no connection, but
 	// not again for a while. It may be nil.
-	Unreached func(t *router.Target)
-	Log       zerolog.Logger
+	OnUnreachable func(t *router.Target)
+	Log           zerolog.Logger
 	// Metrics may be nil.
 	Metrics tally.Scope
 
@@ -55,40 +55,40 @@
 	running atomic.Int64
 }
 
-// Key returns the key that targets are looked up by: the service and, on an
+// RoutingKey returns the key that targets are looked up by: the service and, on an
 // engine, the model or adapter.
-func Key(service, model string) string { return service + "/" + model }
+func RoutingKey(service, model string) string { return service + "/" + model }
 
 // Phase is the progress of an entry's graceful shutdown. It only grows.
 type Phase int32
 
 // The phases of a graceful shutdown.
 const (
-	// Open accepts all requests.
-	Open Phase = iota
-	// Stopping closes each client connection after the next answer.
-	Stopping
-	// Closing refuses new streams: a stream that begins this late would be cut
+	// Serving accepts all requests.
+	Serving Phase = iota
+	// Draining closes each client connection after the next answer.
+	Draining
+	// RefusingNewStreams refuses new streams: a stream that begins this late would be cut
 	// off with the process, while its client still has time to use another
 	// entry.
-	Closing
-	// Ending also refuses accepted streams of which nothing was sent yet.
-	Ending
+	RefusingNewStreams
+	// RefusingUnstartedStreams also refuses accepted streams of which nothing was sent yet.
+	RefusingUnstartedStreams
 )
 
-// Enter moves to phase p.
+// EnterPhase moves to phase p.
 //
 // A stream must not be cut off at the end of the grace time: streams that could
 // not end in time are not begun, and their clients are refused at once.
-func (s *Server) Enter(p Phase) {
+func (s *Server) EnterPhase(p Phase) {
 	s.phase.Store(int32(p))
 
-	if p < Ending {
+	if p < RefusingUnstartedStreams {
 		return
 	}
 
 	refuse := func() {
-		s.Lines.RefuseWaiting(func(*request.Request) *request.Refusal { return stoppingRefusal() })
+		s.Dispatcher.RefuseWaiting(func(*request.Request) *request.Refusal { return stoppingRefusal() })
 	}
 
 	refuse()
@@ -128,7 +128,7 @@
 
 	arrived := time.Now()
 
-	if s.reached(Stopping) {
+	if s.reached(Draining) {
 		w.Header().Set("Connection", "close")
 	}
 
@@ -163,12 +163,12 @@
 }
 
 // serve answers a request whose route and client are known.
-func (s *Server) serve(w http.ResponseWriter, r *http.Request, info Ask, matched matchedRoute, arrived time.Time) {
+func (s *Server) serve(w http.ResponseWriter, r *http.Request, info RequestInfo, matched matchedRoute, arrived time.Time) {
 	rt, cfg := matched.route, matched.table.Config
 
 	timeout := rt.Timeout
-	if info.Left > 0 && (timeout == 0 || info.Left < timeout) {
-		timeout = info.Left
+	if info.Timeout > 0 && (timeout == 0 || info.Timeout < timeout) {
+		timeout = info.Timeout
 	}
 
 	d := &delivery{Server: s, w: w, r: r, route: rt, info: info, arrived: arrived, deadline: arrived.Add(timeout), version: cfg.Version, team: matched.team, keysInUse: cfg.Teams.Len() > 0}
@@ -249,7 +249,7 @@
 	w        http.ResponseWriter
 	r        *http.Request
 	route    *route.Route
-	info     Ask
+	info     RequestInfo
 	arrived  time.Time
 	deadline time.Time
 	// version is the version of the configuration that the request is handled
@@ -327,7 +327,7 @@
 		ID:       d.info.ID,
 		EngineID: d.info.ID,
 		Customer: d.customer(),
-		Model:    Key(d.service, model),
+		Model:    RoutingKey(d.service, model),
 		Prompt:   d.contentDigest(),
 		Priority: max(0, maxWeight-d.priority()),
 		Deadline: d.queueDeadline(),
@@ -345,19 +345,19 @@
 		cancel()
 	})()
 
-	if wait, stopped := d.Lines.Stopped(d.req.Fingerprint()); stopped {
+	if wait, stopped := d.Dispatcher.Stopped(d.req.Fingerprint()); stopped {
 		d.finish(request.Refuse(request.Poisoned, wait, "this request has crashed the targets that ran it"))
 
 		return
 	}
 
-	if d.reached(Closing) && d.route.Kind == route.Stream {
+	if d.reached(RefusingNewStreams) && d.route.Kind == route.Stream {
 		d.finish(stoppingRefusal())
 
 		return
 	}
 
-	d.suspect = d.Lines.Suspect(d.req.Fingerprint())
+	d.suspect = d.Dispatcher.Suspect(d.req.Fingerprint())
 	d.finish(d.run(ctx))
 }
 
--- a/internal/standin/site/caller.go
+++ b/internal/standin/site/caller.go
@@ -27,16 +27,16 @@
 }
 
 // Ask sends one request to an entry, on a connection of its own.
-func Ask(ctx context.Context, e *Entry, path, body string, ask relay.Ask) (Reply, error) {
+func Ask(ctx context.Context, e *Entry, path, body string, ask relay.RequestInfo) (Reply, error) {
 	return send(ctx, http.DefaultClient, e.Callers, path, body, ask, true)
 }
 
 // AskOn sends one request on one of the client's connections.
-func AskOn(ctx context.Context, c *http.Client, at netip.AddrPort, path, body string, ask relay.Ask) (Reply, error) {
+func AskOn(ctx context.Context, c *http.Client, at netip.AddrPort, path, body string, ask relay.RequestInfo) (Reply, error) {
 	return send(ctx, c, at, path, body, ask, false)
 }
 
-func send(ctx context.Context, c *http.Client, at netip.AddrPort, path, body string, ask relay.Ask, last bool) (Reply, error) {
+func send(ctx context.Context, c *http.Client, at netip.AddrPort, path, body string, ask relay.RequestInfo, last bool) (Reply, error) {
 	method := http.MethodPost
 	if body == "" {
 		method = http.MethodGet
--- a/internal/standin/site/try.go
+++ b/internal/standin/site/try.go
@@ -85,7 +85,7 @@
 		}
 
 		e := s.Entries[draw.IntN(len(s.Entries))]
-		r, err := Ask(ctx, e, path, "text", relay.Ask{ID: id, Left: tryDeadline, Model: model, TokensIn: 10, TokensOut: answerTokens})
+		r, err := Ask(ctx, e, path, "text", relay.RequestInfo{ID: id, Timeout: tryDeadline, Model: model, TokensIn: 10, TokensOut: answerTokens})
 		l.note(s.Runs(id), r, err, model)
 	}
 }
--- a/internal/standin/soak/check.go
+++ b/internal/standin/soak/check.go
@@ -86,8 +86,8 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callFor)
 	defer cancel()
 
-	r, err := site.AskOn(ctx, c, p.callers, k.path, k.body, relay.Ask{
-		ID: id, Left: callFor, Model: k.model, TokensIn: 10, TokensOut: tokens, Credentials: credentials(team),
+	r, err := site.AskOn(ctx, c, p.callers, k.path, k.body, relay.RequestInfo{
+		ID: id, Timeout: callFor, Model: k.model, TokensIn: 10, TokensOut: tokens, Credentials: credentials(team),
 	})
 	s.book.note(id, k, r, err)
 }
@@ -213,8 +213,8 @@
 		id := fmt.Sprintf("ready-%s%s-%d-%d", p.name, k.path, n, time.Now().UnixNano())
 
 		c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-		r, err := site.AskOn(ctx, c, p.callers, k.path, k.body, relay.Ask{
-			ID: id, Left: callFor, Model: k.model, TokensIn: 10, TokensOut: tokens, Credentials: credentials(free),
+		r, err := site.AskOn(ctx, c, p.callers, k.path, k.body, relay.RequestInfo{
+			ID: id, Timeout: callFor, Model: k.model, TokensIn: 10, TokensOut: tokens, Credentials: credentials(free),
 		})
 
 		if err == nil && r.Status == http.StatusOK && r.Whole {
--- a/internal/standin/worker/serve.go
+++ b/internal/standin/worker/serve.go
@@ -29,7 +29,7 @@
 		a.Lose()
 	}
 
-	first, _ := strconv.Atoi(r.After) // A stream that is not resumed begins at the first event.
+	first, _ := strconv.Atoi(r.LastEvent) // A stream that is not resumed begins at the first event.
 
 	last := events
 	if r.TokensOut > 0 {
