--- a/internal/fleet/entry/entry.go
+++ b/internal/fleet/entry/entry.go
@@ -238,16 +238,16 @@
 	e.shares.Entries = entries
 
 	e.gateway = gateway.New(gateway.Config{
-		Lists:    &e.lists,
-		Shares:   &e.shares,
-		Dispatch: e.dispatch,
-		Claims:   &claim.Book{Table: e.platform, Objects: e.platform, Entry: e.cfg.ID, Process: e.process},
-		Fleet:    e.fleet,
-		Log:      &e.log,
-		Metrics:  e.metrics,
-		MaxBody:  e.cfg.MaxBody,
-		Draining: e.draining.Load,
-		Settled:  e.claimSettled,
+		Lists:          &e.lists,
+		Shares:         &e.shares,
+		Dispatch:       e.dispatch,
+		Claims:         &claim.Book{Table: e.platform, Objects: e.platform, Entry: e.cfg.ID, Process: e.process},
+		Fleet:          e.fleet,
+		Log:            &e.log,
+		Metrics:        e.metrics,
+		MaxBody:        e.cfg.MaxBody,
+		Draining:       e.draining.Load,
+		ClaimAbandoned: e.claimSettled,
 	})
 
 	e.reports.init(e.cfg.Cells)
--- a/internal/fleet/entry/lists.go
+++ b/internal/fleet/entry/lists.go
@@ -220,7 +220,7 @@
 	for {
 		changed := e.lists.Changed()
 
-		e.gateway.ListsChanged()
+		e.gateway.EnforceLists()
 
 		select {
 		case <-ctx.Done():
--- a/internal/serving/gateway/gateway.go
+++ b/internal/serving/gateway/gateway.go
@@ -40,9 +40,9 @@
 	MaxBody  int64
 	// Draining reports whether the entry is shutting down.
 	Draining func() bool
-	// Settled reports whether the process that took a claim can no longer be
+	// ClaimAbandoned reports whether the process that took a claim can no longer be
 	// running the call.
-	Settled func(p claim.Pending) bool
+	ClaimAbandoned func(p claim.Pending) bool
 }
 
 // Gateway serves clients. Create it with New.
@@ -233,9 +233,9 @@
 	}
 }
 
-// ListsChanged refuses queued requests that the lists do not allow after the
+// EnforceLists refuses queued requests that the lists do not allow after the
 // change, and cancels running ones of removed plans if the plan's rule says so.
-func (g *Gateway) ListsChanged() {
+func (g *Gateway) EnforceLists() {
 	lists := g.cfg.Lists.Current()
 
 	g.cfg.Dispatch.RefuseWaiting(func(req *request.Request) *request.Refusal {
--- a/internal/serving/gateway/service.go
+++ b/internal/serving/gateway/service.go
@@ -167,7 +167,7 @@
 
 			return
 		case claim.Pending:
-			if g.cfg.Settled(o) {
+			if g.cfg.ClaimAbandoned(o) {
 				g.refuse(s.call, inDoubt(0))
 
 				return
