--- a/internal/placement/demand/demand.go
+++ b/internal/placement/demand/demand.go
@@ -42,10 +42,10 @@
 // Book keeps the last report of each entry. The zero value is empty. It is
 // not safe for concurrent use.
 type Book struct {
-	entries map[instance.ID]entry
+	entries map[instance.ID]received
 }
 
-type entry struct {
+type received struct {
 	Report
 
 	at time.Time
@@ -54,10 +54,10 @@
 // Take replaces the entry's report.
 func (b *Book) Take(r Report, now time.Time) {
 	if b.entries == nil {
-		b.entries = make(map[instance.ID]entry)
+		b.entries = make(map[instance.ID]received)
 	}
 
-	b.entries[r.Entry] = entry{Report: r, at: now}
+	b.entries[r.Entry] = received{Report: r, at: now}
 }
 
 // Merged returns the demand of all entries, one line a model, sorted by
@@ -73,11 +73,11 @@
 		}
 
 		for _, d := range e.Waiting {
-			merge(line(merged, d.Model), d)
+			merge(demandOf(merged, d.Model), d)
 		}
 
 		for _, u := range e.Uses {
-			line(merged, u.Model).Running += u.Running
+			demandOf(merged, u.Model).Running += u.Running
 		}
 	}
 
@@ -93,7 +93,7 @@
 	return out
 }
 
-func line(merged map[string]*replica.Demand, model string) *replica.Demand {
+func demandOf(merged map[string]*replica.Demand, model string) *replica.Demand {
 	d := merged[model]
 	if d == nil {
 		d = &replica.Demand{Model: model}
--- a/internal/placement/history/history.go
+++ b/internal/placement/history/history.go
@@ -17,19 +17,19 @@
 	slot     = 24 * time.Hour / daySlots
 	// dayKinds tells workdays from the weekend.
 	dayKinds = 2
-	// forget is the weight that a day's use loses to the next day of its kind.
-	forget = 0.25
-	// fade is how much older gaps lose with each new one.
-	fade = 0.98
-	// unit is the slot's full probability as a byte.
-	unit = 255
+	// dayWeight is the weight that a day's use loses to the next day of its kind.
+	dayWeight = 0.25
+	// gapDecay is how much older gaps lose with each new one.
+	gapDecay = 0.98
+	// fullProbability is the slot's full probability as a byte.
+	fullProbability = 255
 	// priorGaps is how many gaps the pooled experience of all models weighs
 	// against a model's own.
 	priorGaps = 4
 )
 
-// Model is one model's past. The zero value has none.
-type Model struct {
+// usage is one model's past. The zero value has none.
+type usage struct {
 	// gaps counts the gaps between sessions of use, by length. Counts fade.
 	gaps [gapBuckets]float32
 	// slots is the probability of use by kind of day and time of day, as a
@@ -47,11 +47,11 @@
 	// Location is where mornings are; nil means UTC.
 	Location *time.Location
 
-	models map[string]*Model
+	models map[string]*usage
 	pooled [gapBuckets]float32
 }
 
-func (b *Book) local(t time.Time) time.Time {
+func (b *Book) inLocation(t time.Time) time.Time {
 	if b.Location == nil {
 		return t.UTC()
 	}
@@ -68,8 +68,8 @@
 	return min(int(math.Log2(seconds)), gapBuckets-1)
 }
 
-// lower returns where a bucket of gaps begins.
-func lower(bucket int) time.Duration {
+// bucketStart returns where a bucket of gaps begins.
+func bucketStart(bucket int) time.Duration {
 	if bucket == 0 {
 		return 0
 	}
@@ -80,25 +80,25 @@
 // Used records a use of the model.
 func (b *Book) Used(name string, at time.Time) {
 	if b.models == nil {
-		b.models = make(map[string]*Model)
+		b.models = make(map[string]*usage)
 	}
 
 	m := b.models[name]
 	if m == nil {
-		m = &Model{}
+		m = &usage{}
 		b.models[name] = m
 	}
 
-	at = b.local(at)
-	m.turn(at)
+	at = b.inLocation(at)
+	m.finishDays(at)
 	m.today[slotOf(at)] = true
 
 	if !m.last.IsZero() && at.After(m.last) {
 		i := bucketOf(at.Sub(m.last))
 
 		for j := range m.gaps {
-			m.gaps[j] *= fade
-			b.pooled[j] *= 1 - (1-fade)/16 //nolint:mnd // The pool forgets more slowly.
+			m.gaps[j] *= gapDecay
+			b.pooled[j] *= 1 - (1-gapDecay)/16 //nolint:mnd // The pool forgets more slowly.
 		}
 
 		m.gaps[i]++
@@ -130,8 +130,8 @@
 	return (t.Hour()*60 + t.Minute()) / int(slot.Minutes()) //nolint:mnd // Minutes of an hour.
 }
 
-// turn folds finished days into the slots' probabilities.
-func (m *Model) turn(now time.Time) {
+// finishDays folds finished days into the slots' probabilities.
+func (m *usage) finishDays(now time.Time) {
 	day := dayOf(now)
 	if m.day == 0 {
 		m.day = day
@@ -146,10 +146,10 @@
 		for i := range slots {
 			target := 0.0
 			if m.today[i] {
-				target = unit
+				target = fullProbability
 			}
 
-			slots[i] = uint8(math.Round(float64(slots[i]) + forget*(target-float64(slots[i]))))
+			slots[i] = uint8(math.Round(float64(slots[i]) + dayWeight*(target-float64(slots[i]))))
 		}
 
 		m.today = [daySlots]bool{}
@@ -164,8 +164,8 @@
 		return 0
 	}
 
-	now = b.local(now)
-	m.turn(now)
+	now = b.inLocation(now)
+	m.finishDays(now)
 
 	return max(b.gapRate(m, now.Sub(m.last), ahead), m.slotRate(now, ahead))
 }
@@ -173,7 +173,7 @@
 // gapRate is the hazard of the gaps: given that the model was idle for so
 // long, how likely is it to be used in the next moment. Few own gaps lean on
 // the experience of all models.
-func (b *Book) gapRate(m *Model, idle, ahead time.Duration) float64 {
+func (b *Book) gapRate(m *usage, idle, ahead time.Duration) float64 {
 	var pooled float64
 	for _, n := range b.pooled {
 		pooled += float64(n)
@@ -194,7 +194,7 @@
 		survivors += n
 
 		if i <= last && survivors > 0 {
-			width := (lower(i+1) - lower(i)).Seconds()
+			width := (bucketStart(i+1) - bucketStart(i)).Seconds()
 			best = max(best, n/survivors/width)
 		}
 	}
@@ -204,7 +204,7 @@
 
 // slotRate is the rate of the time of day. A slot's neighbours count half, so
 // that a morning that begins a little earlier is met as well.
-func (m *Model) slotRate(now time.Time, ahead time.Duration) float64 {
+func (m *usage) slotRate(now time.Time, ahead time.Duration) float64 {
 	best := 0.0
 
 	for t := now; ; t = t.Add(slot) {
@@ -226,12 +226,12 @@
 	return -math.Log(1-min(best, sure)) / slot.Seconds()
 }
 
-func (m *Model) slotProbability(t time.Time) float64 {
+func (m *usage) slotProbability(t time.Time) float64 {
 	slots := &m.slots[kindOf(dayOf(t))]
 	at := slotOf(t)
-	here := float64(slots[at]) / unit
-	before := float64(slots[(at+daySlots-1)%daySlots]) / unit
-	after := float64(slots[(at+1)%daySlots]) / unit
+	here := float64(slots[at]) / fullProbability
+	before := float64(slots[(at+daySlots-1)%daySlots]) / fullProbability
+	after := float64(slots[(at+1)%daySlots]) / fullProbability
 
 	return max(here, before/2, after/2) //nolint:mnd // Neighbours count half.
 }
--- a/internal/placement/history/save.go
+++ b/internal/placement/history/save.go
@@ -19,8 +19,8 @@
 	Pooled  [gapBuckets]float32
 }
 
-// saved is one model of a saved book, after its name.
-type saved struct {
+// savedModel is one model of a savedModel book, after its name.
+type savedModel struct {
 	Gaps  [gapBuckets]float32
 	Slots [dayKinds][daySlots]uint8
 	Today [daySlots]bool
@@ -46,7 +46,7 @@
 		write(uint16(len(name))) //nolint:gosec // Names are checked to be short.
 		buf.WriteString(name)
 
-		s := saved{Gaps: m.gaps, Slots: m.slots, Today: m.today, Day: m.day}
+		s := savedModel{Gaps: m.gaps, Slots: m.slots, Today: m.today, Day: m.day}
 		if !m.last.IsZero() {
 			s.Last = m.last.UnixMilli()
 		}
@@ -70,7 +70,7 @@
 		return &FormatError{Reason: fmt.Sprintf("version %d", h.Version)}
 	}
 
-	models := make(map[string]*Model)
+	models := make(map[string]*usage)
 
 	for range h.Models {
 		name, m, err := readModel(r)
@@ -91,7 +91,7 @@
 	return nil
 }
 
-func readModel(r *bytes.Reader) (string, *Model, error) {
+func readModel(r *bytes.Reader) (string, *usage, error) {
 	var n uint16
 	if err := binary.Read(r, binary.LittleEndian, &n); err != nil {
 		return "", nil, err
@@ -102,12 +102,12 @@
 		return "", nil, err
 	}
 
-	var s saved
+	var s savedModel
 	if err := binary.Read(r, binary.LittleEndian, &s); err != nil {
 		return "", nil, err
 	}
 
-	m := &Model{gaps: s.Gaps, slots: s.Slots, today: s.Today, day: s.Day}
+	m := &usage{gaps: s.Gaps, slots: s.Slots, today: s.Today, day: s.Day}
 	if s.Last != 0 {
 		m.last = time.UnixMilli(s.Last)
 	}
--- a/internal/placement/replica/best.go
+++ b/internal/placement/replica/best.go
@@ -12,9 +12,9 @@
 	"github.com/fulmarcross/fulmarcross/internal/platform/weight"
 )
 
-// choice is the target that was found for a load.
-type choice struct {
-	// at is the target's index, or -1 with a reason.
+// candidate is the target that was chosen for a load.
+type candidate struct {
+	// at is the target's index. If it is -1, reason says why there is no target.
 	at      int
 	reason  string
 	ready   time.Duration
@@ -22,16 +22,16 @@
 	cost    float64
 }
 
-// best returns the target with the least cost: the time until the replica is
-// ready, the time that evicted models will take to come back, and how slow
-// the target is.
-func (d *decider) best(cp weight.Checkpoint, plan string, evict bool) choice {
-	best := choice{at: -1, reason: ReasonNoTarget}
+// cheapestTarget returns the target with the least cost: the time until the
+// replica is ready, the predicted cost of reloading the evicted models, and how
+// slow the target is.
+func (d *decider) cheapestTarget(cp weight.Checkpoint, plan string, evict bool) candidate {
+	best := candidate{at: -1, reason: ReasonNoTarget}
 
 	for at := range d.Targets {
 		c := d.consider(at, cp, plan, evict)
 		if c.at < 0 {
-			best.reason = worse(best.reason, c.reason)
+			best.reason = moreSpecific(best.reason, c.reason)
 
 			continue
 		}
@@ -44,10 +44,11 @@
 	return best
 }
 
-// reasonRank orders reasons by how much they tell a caller.
+// reasonRank sorts the reasons from the least to the most informative for a
+// client.
 var reasonRank = []string{ReasonNoTarget, ReasonTooLarge, ReasonThrash, ReasonBusy}
 
-func worse(a, b string) string {
+func moreSpecific(a, b string) string {
 	if slices.Index(reasonRank, b) > slices.Index(reasonRank, a) {
 		return b
 	}
@@ -55,9 +56,9 @@
 	return a
 }
 
-func (d *decider) consider(at int, cp weight.Checkpoint, plan string, evict bool) choice {
+func (d *decider) consider(at int, cp weight.Checkpoint, plan string, evict bool) candidate {
 	t := &d.Targets[at]
-	no := func(reason string) choice { return choice{at: -1, reason: reason} }
+	no := func(reason string) candidate { return candidate{at: -1, reason: reason} }
 
 	if !t.Usable || d.Book.Row(ledger.Key{Target: t.ID, Model: cp.Name}) != nil {
 		return no(ReasonNoTarget)
@@ -75,8 +76,8 @@
 		return no(ReasonThrash)
 	}
 
-	c := choice{at: at, ready: d.duration(cp, tierOf(t, cp.Name))}
-	need := d.Book.Held(t.ID) + d.taken[at] + cp.Bytes - t.Memory
+	c := candidate{at: at, ready: d.loadTime(cp, tierOf(t, cp.Name))}
+	need := d.Book.Held(t.ID) + d.reservedBytes[at] + cp.Bytes - t.Memory
 
 	if need > 0 {
 		if !evict || !d.findVictims(&c, t, cp, need) {
@@ -84,19 +85,20 @@
 		}
 	}
 
-	c.cost += c.ready.Seconds() + slowness(t) + d.lent(t, plan)
+	c.cost += c.ready.Seconds() + slowness(t) + d.overPlanCost(t, plan)
 
 	return c
 }
 
-// slowness prefers faster targets, mildly: a fast target that must load from
-// the remote tier loses against a slow one that has the checkpoint at hand.
+// slowness is a small cost that prefers faster targets. It is small enough that
+// a fast target that must load from the remote tier loses against a slow one
+// that has the checkpoint cached.
 func slowness(t *Target) float64 { return 1 / max(t.Speed, 0.1) } //nolint:mnd // Guards a division.
 
-// lent is the cost of a replica that goes beyond the plan's accelerators. It
-// is allowed, so that nobody's accelerators sit idle while others wait, but a
-// target of its own is preferred.
-func (d *decider) lent(t *Target, plan string) float64 {
+// overPlanCost returns the cost of a replica that exceeds the plan's
+// accelerators. Such a replica is allowed, so that no accelerator is idle while
+// requests wait, but a target within the plan is preferred.
+func (d *decider) overPlanCost(t *Target, plan string) float64 {
 	limit, ok := d.Accelerators[plan]
 	if !ok || plan == "" {
 		return 0
@@ -137,10 +139,10 @@
 	return target.TierRemote
 }
 
-// findVictims picks idle replicas to evict until need bytes are free, those
-// that are cheapest to lose first. Replicas with waiting or running requests
-// are never evicted, nor are bases that a loaded adapter needs.
-func (d *decider) findVictims(c *choice, t *Target, cp weight.Checkpoint, need int64) bool {
+// findVictims chooses idle replicas to evict until need bytes are free, those
+// with the least loss first. It never evicts replicas with waiting or running
+// requests, nor bases that a loaded adapter needs.
+func (d *decider) findVictims(c *candidate, t *Target, cp weight.Checkpoint, need int64) bool {
 	need -= d.leavingBytes(t)
 	c.cost += unloadCost
 
@@ -171,8 +173,8 @@
 	}
 
 	if len(c.victims) == 0 {
-		// What is already leaving makes room. Naming it again is harmless and
-		// tells the caller of best to wait for it.
+		// The replicas that are being unloaded make enough room. Retiring them
+		// again has no effect and makes the caller wait for them.
 		c.victims = d.leavingKeys(t)
 	}
 
@@ -180,15 +182,16 @@
 }
 
 // unloadCost is how many seconds it takes until evicted memory is free: the
-// entries must stop sending and the engine must confirm.
+// entries must stop sending requests and the engine must confirm the unload.
 const unloadCost = 0.5
 
-// leavingBytes returns what replicas free that are being retired.
+// leavingBytes returns how many bytes the replicas that are being retired will
+// free.
 func (d *decider) leavingBytes(t *Target) int64 {
 	var n int64
 
 	for _, r := range d.Book.Target(t.ID) {
-		if d.goingSoon(r) {
+		if d.isLeaving(r) {
 			n += r.Bytes
 		}
 	}
@@ -196,8 +199,8 @@
 	return n
 }
 
-// goingSoon reports whether the row's memory is about to be free.
-func (d *decider) goingSoon(r *ledger.Row) bool {
+// isLeaving reports whether the row's memory is about to be free.
+func (d *decider) isLeaving(r *ledger.Row) bool {
 	return (r.State.Retiring || d.retired[r.Key]) && !r.State.Stuck
 }
 
@@ -205,7 +208,7 @@
 	var keys []ledger.Key
 
 	for _, r := range d.Book.Target(t.ID) {
-		if d.goingSoon(r) {
+		if d.isLeaving(r) {
 			keys = append(keys, r.Key)
 		}
 	}
@@ -224,29 +227,29 @@
 	return d.Book.Dependents(r.Key) == 0
 }
 
-// loss is how many seconds an eviction is expected to cost: the time to load
-// the model again, weighted by how soon it is expected to be used.
+// loss returns the predicted cost of an eviction in seconds: the time to load
+// the model again, weighted by how soon it is predicted to be used.
 func (d *decider) loss(t *Target, r *ledger.Row) float64 {
-	reload := d.duration(d.Models[r.Model], tierOf(t, r.Model)).Seconds()
+	reload := d.loadTime(d.Models[r.Model], tierOf(t, r.Model)).Seconds()
 	if d.Forecast == nil {
-		return reload * soon(d.Now.Sub(r.State.LastUsed))
+		return reload * nextUseWeight(d.Now.Sub(r.State.LastUsed))
 	}
 
-	// The expected uses in the time that an eviction saves.
-	uses := d.Forecast.Rate(r.Model, d.Now, halfLife) * halfLife.Seconds()
+	// The predicted uses within the window in which the eviction saves memory.
+	uses := d.Forecast.Rate(r.Model, d.Now, lossWindow) * lossWindow.Seconds()
 
 	return reload * uses / (1 + uses)
 }
 
-// halfLife is over what time the loss of a replica is weighed.
-const halfLife = 10 * time.Minute
+// lossWindow is the time over which the loss of a replica is predicted.
+const lossWindow = 10 * time.Minute
 
-// soon falls from one to zero as the next use lies further ahead.
-func soon(d time.Duration) float64 {
-	return 1 / (1 + float64(max(0, d))/float64(halfLife))
+// nextUseWeight decreases from one to zero with the time until the next use.
+func nextUseWeight(d time.Duration) float64 {
+	return 1 / (1 + float64(max(0, d))/float64(lossWindow))
 }
 
-// jitter returns a number from zero to one that depends on the name alone.
+// jitter returns a number between zero and one that depends on the name only.
 func jitter(name string) float64 {
 	const bits = 53
 
--- a/internal/placement/replica/decide.go
+++ b/internal/placement/replica/decide.go
@@ -11,35 +11,36 @@
 	"github.com/fulmarcross/fulmarcross/internal/platform/weight"
 )
 
-// decider gathers the decisions of one round. Decisions of a round see each
-// other: memory that one load takes is not offered to the next.
+// decider collects the decisions of one round. Each of them takes those before
+// it into account: memory that one load takes is not available to the next.
 type decider struct {
 	*View
 
 	out []Decision
-	// taken are the bytes that this round's loads take, by index of target.
-	taken []int64
-	// retired are the rows that this round retires.
+	// reservedBytes are the bytes that this round's loads take, by index of the
+	// target.
+	reservedBytes []int64
+	// retired are the ledger rows that this round retires.
 	retired map[ledger.Key]bool
 	// demanded are the models with demand.
 	demanded map[string]bool
-	// placed are the models that this round has looked for a place for, so
-	// that a base which several want is loaded once.
+	// placed are the models for which this round has looked for a target, so
+	// that a base that several models need is loaded once.
 	placed   map[string]bool
-	loads    int
-	adapters int
+	freeLoads    int
+	freeAdapterLoads int
 }
 
-// Decide returns what to do now. The most urgent loads come first.
+// Decide returns the decisions for now, the most urgent loads first.
 func Decide(v *View) []Decision {
 	d := &decider{
 		View:     v,
-		taken:    make([]int64, len(v.Targets)),
+		reservedBytes:    make([]int64, len(v.Targets)),
 		retired:  make(map[ledger.Key]bool),
 		demanded: make(map[string]bool, len(v.Demand)),
 		placed:   make(map[string]bool),
-		loads:    v.FreeLoads,
-		adapters: v.FreeAdapterLoads,
+		freeLoads:    v.FreeLoads,
+		freeAdapterLoads: v.FreeAdapterLoads,
 	}
 
 	for _, dem := range v.Demand {
@@ -47,7 +48,7 @@
 	}
 
 	for _, dem := range d.byUrgency() {
-		d.meet(dem)
+		d.decideModel(dem)
 	}
 
 	d.preLoad()
@@ -56,12 +57,13 @@
 	return d.out
 }
 
-// byUrgency orders the demand: waiting before running, then by priority, then
-// by how little time is left once the load is done.
+// byUrgency sorts the demand: models with waiting requests first, then by
+// priority, then by the time that is left before the deadline once the load is
+// done.
 func (d *decider) byUrgency() []Demand {
 	sorted := slices.Clone(d.Demand)
 	slack := func(dem Demand) time.Duration {
-		return dem.Deadline.Sub(d.Now) - d.duration(d.Models[dem.Model], target.TierRemote)
+		return dem.Deadline.Sub(d.Now) - d.loadTime(d.Models[dem.Model], target.TierRemote)
 	}
 
 	slices.SortStableFunc(sorted, func(a, b Demand) int {
@@ -76,8 +78,8 @@
 	return sorted
 }
 
-// meet decides for one demanded model.
-func (d *decider) meet(dem Demand) {
+// decideModel decides for one model with demand.
+func (d *decider) decideModel(dem Demand) {
 	cp, ok := d.Models[dem.Model]
 	if !ok {
 		d.deny(dem, ReasonUnknown, 0)
@@ -89,22 +91,22 @@
 
 	switch {
 	case ready+loading == 0 && dem.Waiting > 0:
-		if !d.revive(dem.Model) {
+		if !d.cancelRetire(dem.Model) {
 			d.place(cp, dem, true)
 		}
 	case ready+loading == 0:
 	case loading > 0:
-		d.expect(dem)
+		d.predict(dem)
 	case d.crowded(dem):
 		d.place(cp, dem, false)
 	}
 }
 
-// count returns how many replicas take work and how many are on their way.
+// count returns how many replicas are ready and how many are loading.
 func (d *decider) count(model string) (ready, loading int) {
 	for _, r := range d.Book.Model(model) {
 		switch {
-		case r.State.Retiring || d.retired[r.Key] || d.lost(r):
+		case r.State.Retiring || d.retired[r.Key] || d.isLost(r):
 		case r.State.Phase == target.Ready:
 			ready++
 		case r.State.Phase == target.Loading:
@@ -115,17 +117,18 @@
 	return ready, loading
 }
 
-// lost reports whether the row's target serves nobody.
-func (d *decider) lost(r *ledger.Row) bool {
-	at, ok := d.find(r)
+// isLost reports whether the row's target is unknown or lost, so that the
+// replica serves no requests.
+func (d *decider) isLost(r *ledger.Row) bool {
+	at, ok := d.targetOf(r)
 
 	return !ok || d.Targets[at].Lost
 }
 
-// revive calls off the retirement of a replica that is still loaded.
-func (d *decider) revive(model string) bool {
+// cancelRetire cancels the retirement of a replica that is still loaded.
+func (d *decider) cancelRetire(model string) bool {
 	for _, r := range d.Book.Model(model) {
-		if r.State.Retiring && r.State.Phase == target.Ready && !d.lost(r) {
+		if r.State.Retiring && r.State.Phase == target.Ready && !d.isLost(r) {
 			d.out = append(d.out, Revive{Target: r.Target, Model: model})
 
 			return true
@@ -136,12 +139,12 @@
 }
 
 // crowded reports whether the model's replicas are so full that another one
-// is worth its load.
+// justifies its load.
 func (d *decider) crowded(dem Demand) bool {
 	slots := 0
 
 	for _, r := range d.Book.Model(dem.Model) {
-		if at, ok := d.find(r); ok && !r.State.Retiring {
+		if at, ok := d.targetOf(r); ok && !r.State.Retiring {
 			slots += d.Targets[at].Slots
 		}
 	}
@@ -149,13 +152,14 @@
 	return float64(dem.Waiting+dem.Running) > d.Terms.ScaleUp*float64(slots)
 }
 
-func (d *decider) find(r *ledger.Row) (int, bool) {
+func (d *decider) targetOf(r *ledger.Row) (int, bool) {
 	return slices.BinarySearchFunc(d.Targets, r, func(t Target, r *ledger.Row) int {
 		return cmp.Compare(t.ID, r.Target)
 	})
 }
 
-// place looks for a target and, if need be, for what to evict there.
+// place chooses a target for the model and, if necessary, the replicas to evict
+// there.
 func (d *decider) place(cp weight.Checkpoint, dem Demand, evict bool) {
 	if d.placed[cp.Name] {
 		return
@@ -175,7 +179,7 @@
 		return
 	}
 
-	best := d.best(cp, dem.Plan, evict)
+	best := d.cheapestTarget(cp, dem.Plan, evict)
 	if best.at < 0 {
 		d.denyFor(cp, dem, best.reason)
 
@@ -188,33 +192,35 @@
 	}
 
 	if len(best.victims) > 0 {
-		// The memory is free only once the unload is proved. The next round
-		// loads; until then the waiters know how long it takes.
+		// The memory is free only once the engine has confirmed the unload. The
+		// next round starts the load; until then, the prediction gives waiting
+		// requests the load's duration.
 		d.out = append(d.out, Expect{Model: cp.Name, Ready: best.ready})
 
 		return
 	}
 
-	if !d.takeShare(cp) {
+	if !d.reserveLoad(cp) {
 		d.out = append(d.out, Expect{Model: cp.Name, Ready: 2 * best.ready})
 
 		return
 	}
 
-	d.taken[best.at] += cp.Bytes
+	d.reservedBytes[best.at] += cp.Bytes
 	d.out = append(d.out, Load{
 		Target: t.ID, Model: cp.Name, Base: cp.Base, Bytes: cp.Bytes, Plan: dem.Plan, Ready: best.ready,
 	})
 }
 
-// hasReady reports whether a replica of the model takes work on any target.
+// hasReady reports whether a replica of the model accepts requests on any
+// target.
 func (d *decider) hasReady(model string) bool {
 	ready, _ := d.count(model)
 
 	return ready > 0
 }
 
-// placeBase loads the base of an adapter first. The adapter follows when the
+// placeBase loads the base of an adapter first. The adapter is loaded once the
 // base is ready.
 func (d *decider) placeBase(cp weight.Checkpoint, dem Demand, evict bool) {
 	base, ok := d.Models[cp.Base]
@@ -226,14 +232,14 @@
 
 	_, loading := d.count(base.Name)
 	if loading > 0 {
-		d.expect(Demand{Model: base.Name})
-		d.out = append(d.out, Expect{Model: cp.Name, Ready: d.duration(base, target.TierRemote)})
+		d.predict(Demand{Model: base.Name})
+		d.out = append(d.out, Expect{Model: cp.Name, Ready: d.loadTime(base, target.TierRemote)})
 
 		return
 	}
 
 	if d.demanded[base.Name] && base.Name != dem.Model {
-		// Another demand of this round has placed the base, or could not.
+		// Another demand of this round has placed the base, or failed to.
 		return
 	}
 
@@ -241,14 +247,15 @@
 	needed := dem
 	needed.Model = base.Name
 	d.place(base, needed, evict)
-	d.out = append(d.out, Expect{Model: cp.Name, Ready: d.duration(base, target.TierRemote)})
+	d.out = append(d.out, Expect{Model: cp.Name, Ready: d.loadTime(base, target.TierRemote)})
 }
 
-// takeShare counts one more load against the weight store's concurrency.
-func (d *decider) takeShare(cp weight.Checkpoint) bool {
-	left := &d.loads
+// reserveLoad counts one more load against the cell's share of the weight
+// store's concurrency. It reports false if none is left.
+func (d *decider) reserveLoad(cp weight.Checkpoint) bool {
+	left := &d.freeLoads
 	if cp.Base != "" {
-		left = &d.adapters
+		left = &d.freeAdapterLoads
 	}
 
 	if *left <= 0 {
@@ -260,21 +267,21 @@
 	return true
 }
 
-func (d *decider) expect(dem Demand) {
+func (d *decider) predict(dem Demand) {
 	for _, r := range d.Book.Model(dem.Model) {
 		if r.State.Phase != target.Loading || r.State.Retiring {
 			continue
 		}
 
-		left := d.duration(d.Models[dem.Model], target.TierRemote) - d.Now.Sub(r.State.Since)
-		d.out = append(d.out, Expect{Model: dem.Model, Ready: max(left, minReady)})
+		left := d.loadTime(d.Models[dem.Model], target.TierRemote) - d.Now.Sub(r.State.Since)
+		d.out = append(d.out, Expect{Model: dem.Model, Ready: max(left, minPrediction)})
 
 		return
 	}
 }
 
-// minReady is the least time that is promised for a load that is late.
-const minReady = 50 * time.Millisecond
+// minPrediction is the shortest time that is predicted for a load that is late.
+const minPrediction = 50 * time.Millisecond
 
 func (d *decider) deny(dem Demand, reason string, retryAfter time.Duration) {
 	if dem.Waiting > 0 {
@@ -282,12 +289,12 @@
 	}
 }
 
-// busyRetry is what a caller is told when all memory is in use, and how long
-// a wait for memory or a target is expected to take.
-const busyRetry = 2 * time.Second
+// retryAfterBusy is the time after which a client should retry when all memory
+// is in use. It is also the predicted wait for memory or a target.
+const retryAfterBusy = 2 * time.Second
 
-// denyFor handles a wait for which no target was found. What may pass, such as
-// memory that is in use right now, is waited out while the deadline allows.
+// denyFor handles a demand for which no target was found. Causes that may pass,
+// such as memory that is in use, are waited out while the deadline allows it.
 func (d *decider) denyFor(cp weight.Checkpoint, dem Demand, reason string) {
 	if ready, _ := d.count(cp.Name); ready > 0 {
 		return
@@ -299,19 +306,20 @@
 		return
 	}
 
-	load := busyRetry + d.duration(cp, target.TierRemote)
+	load := retryAfterBusy + d.loadTime(cp, target.TierRemote)
 	if dem.Waiting > 0 && dem.Deadline.Sub(d.Now) > load && len(d.Targets) > 0 {
 		d.out = append(d.out, Expect{Model: cp.Name, Ready: load})
 
 		return
 	}
 
-	d.deny(dem, reason, busyRetry)
+	d.deny(dem, reason, retryAfterBusy)
 }
 
-// backingOff reports whether the model's last load failed, and how long to
-// wait. The wait doubles with each failure in a row; its jitter comes from the
-// model's name, so that a decision stays a function of its input.
+// backingOff reports whether the model's last load failed so recently that it
+// must not be retried yet, and how long to wait. The wait doubles with each
+// consecutive failure. Its jitter depends on the model's name only, so that a
+// decision remains a function of its input.
 func (d *decider) backingOff(model string) (time.Duration, bool) {
 	for _, r := range d.Book.Model(model) {
 		if r.State.Phase != target.Failed {
@@ -336,8 +344,8 @@
 	return time.Duration(wait * (half + half*jitter(model)))
 }
 
-// duration returns how long a load takes from the tier.
-func (d *decider) duration(cp weight.Checkpoint, tier target.Tier) time.Duration {
+// loadTime returns the duration of a load from the tier.
+func (d *decider) loadTime(cp weight.Checkpoint, tier target.Tier) time.Duration {
 	if d.BytesPerSecond <= 0 {
 		return 0
 	}
@@ -345,7 +353,8 @@
 	return time.Duration(float64(cp.Bytes) / d.BytesPerSecond / speedup(tier) * float64(time.Second))
 }
 
-// speedup is how much faster a load from the tier is than a remote one.
+// speedup returns how many times faster a load from the tier is than a remote
+// load.
 func speedup(tier target.Tier) float64 {
 	switch tier {
 	case target.TierMemory:
--- a/internal/placement/replica/decide_test.go
+++ b/internal/placement/replica/decide_test.go
@@ -82,7 +82,7 @@
 		"already ready":           {view: scene(1, row("t0", "a", target.Ready)), demand: []Demand{waiting("a")}},
 		"already loading": {
 			view: scene(1, row("t0", "a", target.Loading)), demand: []Demand{waiting("a")},
-			want: []Decision{Expect{Model: "a", Ready: minReady}},
+			want: []Decision{Expect{Model: "a", Ready: minPrediction}},
 		},
 		"cached target first": {
 			view: scene(3), demand: []Demand{waiting("a")},
@@ -117,7 +117,7 @@
 		"no time to wait for memory": {
 			view:   scene(1, row("t0", "b", target.Ready, func(r *ledger.Row) { r.State.Running = 1 })),
 			demand: []Demand{{Model: "a", Plan: "p", Waiting: 1, Deadline: now.Add(7 * time.Second)}},
-			want:   []Decision{Deny{Model: "a", Reason: ReasonBusy, RetryAfter: busyRetry}},
+			want:   []Decision{Deny{Model: "a", Reason: ReasonBusy, RetryAfter: retryAfterBusy}},
 		},
 		"too large": {
 			view: scene(2), demand: []Demand{waiting("huge")},
@@ -129,7 +129,7 @@
 		},
 		"no target": {
 			view: scene(0), demand: []Demand{waiting("a")},
-			want: []Decision{Deny{Model: "a", Reason: ReasonNoTarget, RetryAfter: busyRetry}},
+			want: []Decision{Deny{Model: "a", Reason: ReasonNoTarget, RetryAfter: retryAfterBusy}},
 		},
 		"a lost target's replica does not serve": {
 			view: scene(2, row("t0", "a", target.Ready)), demand: []Demand{waiting("a")},
--- a/internal/placement/replica/idle.go
+++ b/internal/placement/replica/idle.go
@@ -9,7 +9,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/placement/ledger"
 )
 
-// retire decides that a replica goes, once.
+// retire decides to retire a replica, unless that has been decided before.
 func (d *decider) retire(k ledger.Key, forModel string) {
 	row := d.Book.Row(k)
 	if d.retired[k] || row == nil || row.State.Retiring {
@@ -20,29 +20,29 @@
 	d.out = append(d.out, Retire{Target: k.Target, Model: k.Model, For: forModel})
 }
 
-// Hysteresis: a replica is loaded ahead of its use only if that is worth more
-// than it costs, and unloaded only if keeping it is worth less, so that a
-// model at the border does not come and go.
+// Hysteresis: a replica is loaded ahead of demand only if its value clearly
+// exceeds its cost, and unloaded only if its value is clearly below it, so that
+// a model near the limit is not loaded and unloaded repeatedly.
 const (
-	worthLoading = 1.25
-	worthKeeping = 0.8
+	loadAbove = 1.25
+	unloadBelow = 0.8
 )
 
-// value returns what a loaded replica is worth a second, in accelerators: how
+// valueRate returns what a loaded replica is worth a second, in accelerators: how
 // often it is expected to save somebody the wait for a load, and how much of
 // an accelerator that wait is worth. It looks as far ahead as the load takes.
-func (d *decider) value(model string, load time.Duration) float64 {
+func (d *decider) valueRate(model string, load time.Duration) float64 {
 	const slack = 10 * time.Second
 
 	return d.Forecast.Rate(model, d.Now, load+slack) * load.Seconds() * d.Terms.Worth
 }
 
-// cost returns what an idle replica costs a second: its share of the
-// accelerator's memory.
-func cost(bytes, memory int64) float64 { return float64(bytes) / float64(max(1, memory)) }
+// memoryShare returns the cost of an idle replica per second, which is its share
+// of the accelerator's memory.
+func memoryShare(bytes, memory int64) float64 { return float64(bytes) / float64(max(1, memory)) }
 
-// preLoad loads models ahead of their expected use. It takes free memory
-// only: an expectation never evicts anything.
+// preLoad loads models ahead of their predicted use. It uses free memory only: a
+// prediction never evicts a model.
 func (d *decider) preLoad() {
 	if d.Forecast == nil {
 		return
@@ -56,7 +56,7 @@
 			continue
 		}
 
-		if d.value(model, d.duration(cp, d.bestTier(model))) < worthLoading*cost(cp.Bytes, memory) {
+		if d.valueRate(model, d.loadTime(cp, d.bestTier(model))) < loadAbove*memoryShare(cp.Bytes, memory) {
 			continue
 		}
 
@@ -71,7 +71,7 @@
 }
 
 // bestTier returns the fastest tier in which a usable target has the model. A
-// model that is at hand in memory is hardly worth loading ahead of its use.
+// model that is cached in memory is hardly worth loading ahead of its use.
 func (d *decider) bestTier(model string) target.Tier {
 	best := target.TierRemote
 
@@ -93,8 +93,8 @@
 	return most
 }
 
-// retireIdle unloads replicas whose next use is too far away, the failed ones
-// whose wait is over, and replicas beyond the first that are no longer needed.
+// retireIdle unloads replicas whose next use is too far away, failed ones whose
+// backoff is over, and replicas beyond the first that are not needed.
 func (d *decider) retireIdle() {
 	var rows []*ledger.Row
 
@@ -124,7 +124,7 @@
 		return false
 	}
 
-	if d.demanded[r.Model] && !d.spare(r) || d.Book.Dependents(r.Key) > 0 {
+	if d.demanded[r.Model] && !d.hasOther(r) || d.Book.Dependents(r.Key) > 0 {
 		return false
 	}
 
@@ -137,34 +137,34 @@
 		return unused >= d.Terms.KeepAlive
 	case d.Now.Sub(r.State.Since) < minResidence:
 		return false
-	case !r.State.LastUsed.After(r.State.Since) && d.Now.Sub(r.State.Since) < awaitUse:
+	case !r.State.LastUsed.After(r.State.Since) && d.Now.Sub(r.State.Since) < firstUseTimeout:
 		return false
 	}
 
-	at, ok := d.find(r)
+	at, ok := d.targetOf(r)
 	if !ok {
 		return false
 	}
 
-	// Once it is unloaded, it will be at hand in memory for a while and then on
-	// disk; the disk stands for both.
+	// After the unload, the model stays cached in memory for a while and then on
+	// disk. The disk stands for both.
 	t := &d.Targets[at]
-	load := d.duration(d.Models[r.Model], target.TierDisk)
+	load := d.loadTime(d.Models[r.Model], target.TierDisk)
 
-	return d.value(r.Model, load) < worthKeeping*cost(r.Bytes, t.Memory)
+	return d.valueRate(r.Model, load) < unloadBelow*memoryShare(r.Bytes, t.Memory)
 }
 
-// awaitUse is how long a replica that was loaded ahead of its use waits for
-// it. The forecast's slots are as long, so giving up earlier would load the
-// same model again and again.
-const awaitUse = 15 * time.Minute
+// firstUseTimeout is how long a replica that was loaded ahead of its use is kept
+// before its first use. It equals the forecast's slots: with a shorter time, the
+// same model would be unloaded and loaded again within one slot.
+const firstUseTimeout = 15 * time.Minute
 
-// minResidence keeps a replica that was just loaded from being unloaded
-// before its first request reaches it.
+// minResidence is the minimum time before a replica is unloaded, so that its
+// first request can reach it.
 const minResidence = 2 * time.Second
 
-// spare reports whether the model has another replica that takes work.
-func (d *decider) spare(r *ledger.Row) bool {
+// hasOther reports whether the model has another replica that accepts requests.
+func (d *decider) hasOther(r *ledger.Row) bool {
 	ready, _ := d.count(r.Model)
 
 	return ready > 1 && r.State.Phase == target.Ready
--- a/internal/placement/replica/replica.go
+++ b/internal/placement/replica/replica.go
@@ -1,5 +1,6 @@
-// Package replica decides which models are loaded where. Its decisions are
-// pure functions of values: it does no I/O and reads no clock.
+// Package replica decides which models are loaded on which targets. Its
+// decisions are pure functions of their input: the package does no I/O and reads
+// no clock.
 package replica
 
 import (
@@ -11,42 +12,44 @@
 	"github.com/fulmarcross/fulmarcross/internal/platform/weight"
 )
 
-// Target is a target as the holder of its cell sees it.
+// Target is the state of a target that the holder of its cell has recorded.
 type Target struct {
 	ID           instance.ID
 	Memory       int64
 	Speed        float64
 	Slots        int
 	Accelerators int
-	// Usable says that the engine answers, is not leaving and has seen this
-	// holder's token if it checks tokens.
+	// Usable reports that the engine answers, is not leaving and, if it checks
+	// fencing tokens, has received this holder's token.
 	Usable bool
-	// Lost says that the target is leaving or does not answer, so that its
+	// Lost reports that the target is leaving or does not answer, so that its
 	// replicas do not count as serving.
 	Lost   bool
 	Cached map[string]target.Tier
-	// LoadsLastHour bounds thrashing.
+	// LoadsLastHour is the number of loads in the last hour, which
+	// [Terms].LoadsPerHour limits to prevent thrashing.
 	LoadsLastHour int
 }
 
-// Demand is what all entries together ask of one model.
+// Demand is the demand for one model, summed over all entries.
 type Demand struct {
 	Model   string
 	Plan    string
 	Waiting int
-	// Running is how many requests run on the model's replicas.
+	// Running is the number of requests that run on the model's replicas.
 	Running int
-	// Arrived is how many requests came since the last report, those that were
-	// refused at once among them.
+	// Arrived is the number of requests that arrived since the last report,
+	// including those that were refused at once.
 	Arrived int
-	// Deadline is the earliest deadline of the waiting requests, and Goal the
-	// earliest time by which one of them should begin of those that still can be
-	// on time; zero means none.
+	// Deadline is the earliest deadline of the waiting requests. Goal is the
+	// earliest time by which one of them should start, among those that can
+	// still start on time; zero means that there is none.
 	Deadline, Goal time.Time
 	Priority       int
 }
 
-// Soonest returns the earlier of two times of which zero means never.
+// Soonest returns the earlier of two times. A zero time means that there is
+// none.
 func Soonest(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -55,30 +58,31 @@
 	return a
 }
 
-// Terms are the times and bounds of the policy. See Weigh.
+// Terms are the cost weights and limits of a decision. See [Weigh].
 type Terms struct {
-	// Worth is how many seconds of one idle accelerator a second of a caller's
-	// wait for a cold model is worth.
+	// Worth is the cost of one second that a client waits for a cold model, in
+	// seconds of one idle accelerator.
 	Worth float64
 	// KeepAlive is how long an idle replica stays loaded when there is no
 	// forecast.
 	KeepAlive time.Duration
-	// ScaleUp is the use of slots above which another replica is loaded.
+	// ScaleUp is the fraction of used slots above which another replica is
+	// loaded.
 	ScaleUp float64
-	// LoadsPerHour bounds the loads on one target.
+	// LoadsPerHour limits the loads on one target.
 	LoadsPerHour int
-	// RetryBase and RetryMax bound the wait after a failed load.
+	// RetryBase and RetryMax bound the backoff after a failed load.
 	RetryBase, RetryMax time.Duration
 }
 
-// Forecast tells how models are expected to be used.
+// Forecast predicts the use of models.
 type Forecast interface {
-	// Rate returns how many uses a second a model may be expected to get at
-	// its busiest moment between now and ahead from now.
+	// Rate returns the predicted number of uses per second of a model at its
+	// busiest moment in the given duration from now.
 	Rate(model string, now time.Time, ahead time.Duration) float64
 }
 
-// View is all that a decision depends on.
+// View is the complete input of a decision.
 type View struct {
 	Now time.Time
 	// Targets are sorted by id.
@@ -86,38 +90,36 @@
 	Book    *ledger.Book
 	Models  map[string]weight.Checkpoint
 	Demand  []Demand
-	// Forecast is nil when nothing is known of the models' use.
+	// Forecast is nil if the use of the models has not been recorded.
 	Forecast Forecast
-	// Candidates are the models that are worth a look for loading ahead of
-	// their use.
+	// Candidates are the models to consider for loading ahead of demand.
 	Candidates []string
-	// FreeLoads and FreeAdapterLoads are how many more loads of each kind may
-	// start now.
+	// FreeLoads and FreeAdapterLoads are the numbers of loads of each kind that
+	// may still start now.
 	FreeLoads, FreeAdapterLoads int
-	// BytesPerSecond is the measured speed of a remote load.
+	// BytesPerSecond is the observed speed of a remote load.
 	BytesPerSecond float64
-	// Accelerators is how many accelerators each plan has; a plan that is
-	// missing has no bound.
+	// Accelerators is the number of accelerators of each plan. A plan that is
+	// missing has no limit.
 	Accelerators map[string]int
 	Terms        Terms
 }
 
-// Decision is one thing to do.
+// Decision is one of Load, Retire, Revive, Expect and Deny.
 type Decision interface{ decision() }
 
-// Load asks for a replica.
+// Load starts the load of a replica.
 type Load struct {
 	Target instance.ID
 	Model  string
 	Base   string
 	Bytes  int64
 	Plan   string
-	// Ready is how long the load is expected to take.
+	// Ready is the predicted duration of the load.
 	Ready time.Duration
 }
 
-// Retire asks for a replica to take no new work and to be unloaded when it
-// is idle.
+// Retire stops new requests to a replica and unloads it once it is idle.
 type Retire struct {
 	Target instance.ID
 	Model  string
@@ -125,19 +127,19 @@
 	For string
 }
 
-// Revive asks for a replica that was to be retired to take work again.
+// Revive cancels the retirement of a replica, so that it accepts requests again.
 type Revive struct {
 	Target instance.ID
 	Model  string
 }
 
-// Expect says when a waiting model will be ready.
+// Expect predicts when a model that requests wait for will be ready.
 type Expect struct {
 	Model string
 	Ready time.Duration
 }
 
-// Deny says that no replica can be had.
+// Deny reports that no replica of a model can be loaded.
 type Deny struct {
 	Model      string
 	Reason     string
@@ -150,7 +152,7 @@
 func (Expect) decision() {}
 func (Deny) decision()   {}
 
-// Reasons of a denial.
+// Reasons for a Deny.
 const (
 	ReasonUnknown  = "no such checkpoint"
 	ReasonTooLarge = "no target is large enough"
--- a/internal/placement/replica/weigh.go
+++ b/internal/placement/replica/weigh.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The ends of the policy's range.
+// Ranges of the weights between which Weigh interpolates.
 const (
 	minKeepAlive = 30 * time.Second
 	maxKeepAlive = 30 * time.Minute
@@ -13,10 +13,10 @@
 	maxWorth     = 20000
 )
 
-// Weigh returns the terms for one weight, from 0, where idle accelerator
-// hours alone count, to 1, where the tail of cold starts alone counts. In
-// between, what a second of a caller's wait is worth grows by the same factor
-// with each step.
+// Weigh returns the weights for a position between 0, where only the idle time
+// of accelerators counts, and 1, where only the slowest cold starts count. Each
+// equal step in between multiplies the cost of a second of waiting by the same
+// factor.
 func Weigh(coldStart float64) Terms {
 	return Terms{
 		Worth:        minWorth * math.Pow(maxWorth/minWorth, coldStart),
--- a/internal/placement/share/share.go
+++ b/internal/placement/share/share.go
@@ -12,12 +12,12 @@
 // GrantFor is how long a cell may begin loads after it asked.
 const GrantFor = 3 * time.Second
 
-// margin is how much longer the granter counts a grant.
-const margin = 100 * time.Millisecond
+// grantMargin is how much longer the granter counts a grant.
+const grantMargin = 100 * time.Millisecond
 
-// lingering is for how long loads of a cell that no longer asks are counted:
+// loadTimeout is for how long loads of a cell that no longer asks are counted:
 // the longest that a load is expected to take.
-const lingering = 2 * time.Minute
+const loadTimeout = 2 * time.Minute
 
 // Ask is a cell's request.
 type Ask struct {
@@ -34,12 +34,12 @@
 type Granter struct {
 	Total Amount
 
-	since time.Time
-	cells map[int]held
+	startedAt time.Time
+	cells map[int]cellState
 }
 
-type held struct {
-	granted, using, want, before Amount
+type cellState struct {
+	granted, inFlight, wanted, lastGrant Amount
 	until                        time.Time
 }
 
@@ -47,8 +47,8 @@
 // former granter's grants have run out; what cells have in flight they tell
 // with their asks meanwhile.
 func (g *Granter) Started(now time.Time) {
-	g.since = now
-	g.cells = make(map[int]held)
+	g.startedAt = now
+	g.cells = make(map[int]cellState)
 }
 
 // Grant answers an ask. The answer holds for GrantFor from when it was asked.
@@ -57,7 +57,7 @@
 		return Amount{}
 	}
 
-	g.forget(now)
+	g.expire(now)
 	delete(g.cells, a.Cell)
 
 	free := g.Total
@@ -67,20 +67,20 @@
 		counted := h.counted()
 		free.Models -= counted.Models
 		free.Adapters -= counted.Adapters
-		wants.Models += h.want.Models
-		wants.Adapters += h.want.Adapters
+		wants.Models += h.wanted.Models
+		wants.Adapters += h.wanted.Adapters
 	}
 
 	grant := Amount{
-		Models:   part(g.Total.Models, a.Want.Models, wants.Models, free.Models),
-		Adapters: part(g.Total.Adapters, a.Want.Adapters, wants.Adapters, free.Adapters),
+		Models:   fairShare(g.Total.Models, a.Want.Models, wants.Models, free.Models),
+		Adapters: fairShare(g.Total.Adapters, a.Want.Adapters, wants.Adapters, free.Adapters),
 	}
 
-	if now.Before(g.since.Add(GrantFor + margin)) {
+	if now.Before(g.startedAt.Add(GrantFor + grantMargin)) {
 		grant = Amount{}
 	}
 
-	g.cells[a.Cell] = held{granted: grant, using: a.Using, want: a.Want, before: a.Held, until: now.Add(GrantFor + margin)}
+	g.cells[a.Cell] = cellState{granted: grant, inFlight: a.Using, wanted: a.Want, lastGrant: a.Held, until: now.Add(GrantFor + grantMargin)}
 
 	return grant
 }
@@ -88,26 +88,26 @@
 // counted is the most that the cell may have in flight. It counts beyond the
 // end of the grant, because what was begun under it goes on, and the grant
 // before, because the answer with the newer one may be lost.
-func (h *held) counted() Amount {
+func (h *cellState) counted() Amount {
 	return Amount{
-		Models:   max(h.granted.Models, h.using.Models, h.before.Models),
-		Adapters: max(h.granted.Adapters, h.using.Adapters, h.before.Adapters),
+		Models:   max(h.granted.Models, h.inFlight.Models, h.lastGrant.Models),
+		Adapters: max(h.granted.Adapters, h.inFlight.Adapters, h.lastGrant.Adapters),
 	}
 }
 
-// forget drops cells whose loads have ended even if they never said so.
-func (g *Granter) forget(now time.Time) {
+// expire drops cells whose loads have ended even if they never said so.
+func (g *Granter) expire(now time.Time) {
 	for cell, h := range g.cells {
 		idle := h.counted() == Amount{}
-		if now.After(h.until.Add(lingering)) || idle && now.After(h.until) {
+		if now.After(h.until.Add(loadTimeout)) || idle && now.After(h.until) {
 			delete(g.cells, cell)
 		}
 	}
 }
 
-// part is a cell's part of one kind: what it wants if all wants fit, else in
+// fairShare is a cell's fairShare of one kind: what it wants if all wants fit, else in
 // proportion, at least one, and never more than is free.
-func part(total, want, wants, free int) int {
+func fairShare(total, want, wants, free int) int {
 	fair := want
 	if wants > total {
 		fair = max(1, total*want/wants)
--- a/internal/placement/share/share_test.go
+++ b/internal/placement/share/share_test.go
@@ -78,5 +78,5 @@
 	assert.Equal(t, g.Grant(a, now).Models, 0, "it has not started")
 	g.Started(now)
 	assert.Equal(t, g.Grant(a, now.Add(GrantFor)).Models, 0)
-	assert.Equal(t, g.Grant(a, now.Add(GrantFor+margin)).Models, 2)
+	assert.Equal(t, g.Grant(a, now.Add(GrantFor+grantMargin)).Models, 2)
 }
--- a/internal/placement/swap/adapter.go
+++ b/internal/placement/swap/adapter.go
@@ -8,30 +8,30 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// AdapterOn is an adapter on a target.
+// AdapterOn is an adapter that is loaded on a target.
 type AdapterOn struct {
 	Name    string
 	Running int
 	Used    time.Time
 }
 
-// Site is a target on which an adapter's model is ready.
+// Site is a target on which an adapter's base model is ready.
 type Site struct {
 	ID instance.ID
-	// Running is how many requests run on the target.
+	// Running is the number of requests that run on the target.
 	Running  int
 	Adapters []AdapterOn
 }
 
-// AdapterMove is the load of an adapter. Unload is empty where a place is
-// free.
+// AdapterMove is the load of an adapter. Unload is empty if a slot is free.
 type AdapterMove struct {
 	Target instance.ID
 	Unload string
 }
 
-// PlaceAdapter returns where an adapter is loaded: on the target with the
-// fewest running requests that has a place free or an idle adapter to give up.
+// PlaceAdapter returns the target on which to load an adapter: the one with the
+// fewest running requests among those with a free slot or, if there are none,
+// among those with an idle adapter to unload.
 func PlaceAdapter(sites []Site, slots int, now time.Time) (AdapterMove, bool) {
 	sorted := slices.Clone(sites)
 	slices.SortStableFunc(sorted, func(a, b Site) int {
@@ -68,7 +68,7 @@
 
 	for i := range on {
 		a := &on[i]
-		if a.Running > 0 || now.Sub(a.Used) < youngAge {
+		if a.Running > 0 || now.Sub(a.Used) < minIdleTime {
 			continue
 		}
 
--- a/internal/placement/swap/exhaustive_test.go
+++ b/internal/placement/swap/exhaustive_test.go
@@ -82,7 +82,7 @@
 		n := 0
 
 		for _, m := range Plan(v).Moves {
-			if m.For == ForWaiting {
+			if m.For == ReasonWaiting {
 				n++
 			}
 		}
--- a/internal/placement/swap/fill.go
+++ b/internal/placement/swap/fill.go
@@ -10,28 +10,27 @@
 )
 
 const (
-	// idleShare is the part of the targets that is left without an order for
-	// requests that come meanwhile.
-	idleShare = 0.5
-	// rotate is how long the order of models that are asked for equally often
-	// stays the same.
-	rotate = 10 * time.Second
+	// reservedTargets is the fraction of the targets that is kept without
+	// orders, for requests that arrive meanwhile.
+	reservedTargets = 0.5
+	// shuffleInterval is how long models with the same rate keep their order.
+	shuffleInterval = 10 * time.Second
 )
 
-// fill loads models that are nowhere into memory that is free, from where they
-// are at hand.
+// loadAheadFromCache loads models without a replica into free memory, from
+// targets' memory or disk.
 //
-// It answers the first minutes, in which a third of the memory is empty: a rare
-// model that is there already is served at once.
-func (p *planner) fill() {
-	free := p.free()
-	left := int(idleShare * float64(p.serving()))
+// It handles the first minutes, in which a third of the memory is empty:
+// requests for a rarely used model that is already loaded are served at once.
+func (p *decider) loadAheadFromCache() {
+	free := p.freeTargets()
+	left := int(reservedTargets * float64(p.servingTargets()))
 
 	if len(free) <= left {
 		return
 	}
 
-	for _, m := range p.missing() {
+	for _, m := range p.modelsNowhere() {
 		if len(free) <= left {
 			return
 		}
@@ -42,21 +41,21 @@
 		}
 
 		t := free[at]
-		tier, takes := p.tierOf(t, m)
+		tier, takes := p.tierAndTime(t, m)
 
-		p.begin(Move{Target: t.ID, Load: m.Name, Takes: takes, From: tier, For: ForLater})
+		p.add(Move{Target: t.ID, Load: m.Name, Takes: takes, From: tier, For: ReasonAhead})
 
 		free = slices.Delete(free, at, at+1)
 	}
 }
 
-// free returns the targets that could take an order now, those with the least
-// to do first.
-func (p *planner) free() []*Target {
+// freeTargets returns the targets that could accept an order now, those with the
+// fewest running requests first.
+func (p *decider) freeTargets() []*Target {
 	var out []*Target
 
 	for i := range p.Targets {
-		if t := &p.Targets[i]; t.Free && t.Serving && !p.busy[t.ID] {
+		if t := &p.Targets[i]; t.Free && t.Serving && !p.ordered[t.ID] {
 			out = append(out, t)
 		}
 	}
@@ -66,7 +65,7 @@
 	return out
 }
 
-func (p *planner) serving() int {
+func (p *decider) servingTargets() int {
 	n := 0
 
 	for i := range p.Targets {
@@ -78,17 +77,18 @@
 	return n
 }
 
-// missing returns the models that are nowhere, those asked for most first.
-func (p *planner) missing() []route.Model {
+// modelsNowhere returns the models without a replica, those with the highest
+// rate first.
+func (p *decider) modelsNowhere() []route.Model {
 	var out []route.Model
 
 	for _, m := range p.Engine.Models {
-		if p.copies[m.Name] == 0 {
+		if p.replicas[m.Name] == 0 {
 			out = append(out, m)
 		}
 	}
 
-	spread := p.spreads(out)
+	spread := p.shuffleKeys(out)
 
 	slices.SortFunc(out, func(a, b route.Model) int {
 		return cmp.Or(-cmp.Compare(p.Rate[a.Name], p.Rate[b.Name]), cmp.Compare(spread[a.Name], spread[b.Name]), cmp.Compare(a.Name, b.Name))
@@ -97,22 +97,22 @@
 	return out
 }
 
-// spreads returns the places of models that are asked for equally often.
-func (p *planner) spreads(models []route.Model) map[string]uint64 {
+// shuffleKeys returns the sort keys of models with the same rate.
+func (p *decider) shuffleKeys(models []route.Model) map[string]uint64 {
 	out := make(map[string]uint64, len(models))
 	for _, m := range models {
-		out[m.Name] = p.spread(m.Name)
+		out[m.Name] = p.shuffleKey(m.Name)
 	}
 
 	return out
 }
 
-// spread orders models that are asked for equally often, in another way in
-// each round, so that none is always last.
-func (p *planner) spread(model string) uint64 {
-	return instance.Score(model, instance.ID(p.Now.Truncate(rotate).String()))
+// shuffleKey returns the sort key of a model among models with the same rate.
+// The key changes with each shuffleInterval, so that no model is always last.
+func (p *decider) shuffleKey(model string) uint64 {
+	return instance.Score(model, instance.ID(p.Now.Truncate(shuffleInterval).String()))
 }
 
-func (p *planner) fits(t *Target, m route.Model) bool {
+func (p *decider) fits(t *Target, m route.Model) bool {
 	return p.freeMB(t) >= m.MB
 }
--- a/internal/placement/swap/replica.go
+++ b/internal/placement/swap/replica.go
@@ -5,69 +5,74 @@
 )
 
 const (
-	// crowdedShare is the part of a target's places that one model's requests
-	// may take before another replica is loaded.
-	crowdedShare = 1.0 / 3
-	// pressedShare is the part that they may take before another replica comes
-	// from the weight store even, where its load blocks a target for seconds.
-	pressedShare = 2.0 / 3
-	// mostAtOnce is how many replicas of one model a round adds.
-	mostAtOnce = 3
+	// crowdedFraction is the fraction of a target's slots that one model's
+	// requests may take before another replica is loaded.
+	crowdedFraction = 1.0 / 3
+	// overloadedFraction is the fraction that they may take before another
+	// replica is loaded even from the weight store, where the load blocks a
+	// target for seconds.
+	overloadedFraction = 2.0 / 3
+	// maxNewReplicas is the number of replicas of one model that a round adds at
+	// most.
+	maxNewReplicas = 3
 )
 
-// crowded returns how many requests a replica may have before another is
-// loaded. It follows the places of the targets, since what a batch carries
-// before its prompts are late differs as much as they do.
-func crowded(e *route.Engine) int { return atShare(e, crowdedShare) }
+// crowdedAbove returns how many requests a replica may have before another is
+// loaded. It is a fraction of the target's slots, because the number of requests
+// that a batch can carry before their prompts are processed late varies as much
+// as the number of slots.
+func crowdedAbove(e *route.Engine) int { return fractionOfSlots(e, crowdedFraction) }
 
-// pressed returns how many requests a replica may have before another is
+// overloadedAbove returns how many requests a replica may have before another is
 // loaded even from the weight store.
-func pressed(e *route.Engine) int { return atShare(e, pressedShare) }
+func overloadedAbove(e *route.Engine) int { return fractionOfSlots(e, overloadedFraction) }
 
-func atShare(e *route.Engine, share float64) int {
+func fractionOfSlots(e *route.Engine, share float64) int {
 	return max(1, int(share*float64(e.Places(e.Slots))))
 }
 
-func (p *planner) meet(w Want) {
+func (p *decider) placeDemanded(w Want) {
 	m, known := p.Engine.Models[w.Model]
 	if !known {
 		return
 	}
 
-	switch n := p.copies[w.Model]; {
-	case n == 0 && w.Waiting > 0 && p.near[w.Model] > 0:
-		p.place(m, w, ForWaiting, p.claim(w))
+	switch n := p.replicas[w.Model]; {
+	case n == 0 && w.Waiting > 0 && p.nearby[w.Model] > 0:
+		p.place(m, w, ReasonWaiting, p.limitsFor(w))
 	case n > 0:
-		p.spreadOut(m, w)
+		p.addReplicas(m, w)
 	}
 }
 
-// spreadOut adds replicas of a crowded model, several at once: when the demand
-// moves to another model its requests pile up on one replica within a second,
-// and one load after the other would let them wait for all the loads before.
-func (p *planner) spreadOut(m route.Model, w Want) {
-	most := crowded(p.Engine)
+// addReplicas adds replicas of a crowded model, several at once. When demand
+// moves to another model, its requests accumulate on one replica within a
+// second. If the loads were started one after another, requests would wait for
+// all earlier loads.
+func (p *decider) addReplicas(m route.Model, w Want) {
+	most := crowdedAbove(p.Engine)
 	enough := (w.Waiting + w.Running + most - 1) / most
 
-	for range min(enough-p.copies[m.Name], mostAtOnce) {
-		p.place(m, w, ForLoad, p.claim(w))
+	for range min(enough-p.replicas[m.Name], maxNewReplicas) {
+		p.place(m, w, ReasonCrowded, p.limitsFor(w))
 	}
 }
 
-// isPressed reports whether a model is so crowded that another replica is worth a
-// load from the weight store.
+// isOverloaded reports whether a model is so crowded that another replica
+// justifies a load from the weight store.
 //
-// It answers the loss of the targets that have a busy model's weights on disk:
-// the few that are left take all its requests, and no other could load it from a
-// disk of its own. The last load that the store has is for models that are
-// nowhere, but for a model whose surplus is worth much.
-func (p *planner) isPressed(w Want) bool {
+// It handles the loss of targets that have a busy model's weights on disk: the
+// few that are left receive all its requests, and no other target could load the
+// model from its own disk. The last load of the store is reserved for models
+// without a replica, unless the requests above the limit arrive at highWorth or
+// more.
+func (p *decider) isOverloaded(w Want) bool {
 	asked := w.Waiting + w.Running
-	surplus := asked - pressed(p.Engine)*p.copies[w.Model]
+	surplus := asked - overloadedAbove(p.Engine)*p.replicas[w.Model]
 
 	if surplus <= 0 {
 		return false
 	}
 
-	return p.store > urgentStore || p.Rate[w.Model]*float64(surplus)/float64(asked) >= muchWorth
+	return p.freeStoreLoads > reservedStoreLoads || p.Rate[w.Model]*float64(surplus)/float64(asked) >= highWorth
 }
--- a/internal/placement/swap/room.go
+++ b/internal/placement/swap/room.go
@@ -9,20 +9,21 @@
 )
 
 const (
-	// unloadTime is what an unload takes when nothing runs on the model.
+	// unloadTime is the duration of an unload when no request runs on the model.
 	unloadTime = 150 * time.Millisecond
-	// runTime is how long a run on a model that is to make way may still take.
-	runTime = 2 * time.Second
-	// many is how many requests a load must serve for a model on which something
-	// runs to make way.
-	many = 3
-	// youngAge is for how long a model that was just used is not given up:
+	// maxRunTime is the assumed remaining time of a request that runs on a model
+	// to be evicted.
+	maxRunTime = 2 * time.Second
+	// evictRunningFrom is the number of requests that a load must serve before a
+	// model with running requests may be evicted for it.
+	evictRunningFrom = 3
+	// minIdleTime is how long a model is not evicted after its last use, because
 	// requests for it may be on their way.
-	youngAge = 300 * time.Millisecond
+	minIdleTime = 300 * time.Millisecond
 )
 
-// Reserve is the memory that is kept for adapters, in MB.
-func Reserve(e *route.Engine) float64 {
+// adapterReserveMB returns the memory that is reserved for adapters, in MB.
+func adapterReserveMB(e *route.Engine) float64 {
 	most := 0.0
 	for _, m := range e.Models {
 		most = max(most, m.AdapterMB)
@@ -31,17 +32,17 @@
 	return most * float64(e.AdapterSlots)
 }
 
-// victim is a model that could make way.
+// victim is a model that could be evicted.
 type victim struct {
 	Resident
 
 	loss float64
 }
 
-// freeMB is a target's memory that no model takes and that is not kept for
-// adapters.
-func (p *planner) freeMB(t *Target) float64 {
-	free := p.room
+// freeMB returns the memory of a target that neither models nor the reserve for
+// adapters take.
+func (p *decider) freeMB(t *Target) float64 {
+	free := p.usableMB
 	for _, r := range t.Held {
 		free -= p.Engine.Models[r.Model].MB
 	}
@@ -49,16 +50,16 @@
 	return free
 }
 
-// makeRoom returns what must be unloaded so that the model fits, what that
-// costs others and how long it takes.
-func (p *planner) makeRoom(t *Target, m route.Model, c claim) (models []string, loss float64, wait time.Duration, ok bool) {
+// makeRoom returns the models to unload so that the model fits, the loss to
+// those models and the time that the unloads take.
+func (p *decider) makeRoom(t *Target, m route.Model, c evictionLimits) (models []string, loss float64, wait time.Duration, ok bool) {
 	free := p.freeMB(t)
 	if free >= m.MB {
 		return nil, 0, 0, true
 	}
 
 	for _, v := range p.victims(t) {
-		if p.copies[v.Model] <= 1 && v.loss > c.gain || v.Running > 0 && !c.hurried {
+		if p.replicas[v.Model] <= 1 && v.loss > c.maxLoss || v.Running > 0 && !c.evictRunning {
 			continue
 		}
 
@@ -67,7 +68,7 @@
 		wait = max(wait, unloadTime)
 
 		if v.Running > 0 {
-			wait = max(wait, runTime)
+			wait = max(wait, maxRunTime)
 		}
 
 		if free += p.Engine.Models[v.Model].MB; free >= m.MB {
@@ -78,32 +79,34 @@
 	return nil, 0, 0, false
 }
 
-// claim is what a load may ask of others.
-type claim struct {
-	// gain is the rate of requests, or their number, that the load would serve.
-	gain float64
-	// hurried says that a model on which something runs may make way.
+// evictionLimits limits what may be evicted for a load.
+type evictionLimits struct {
+	// maxLoss is the rate, or the number, of requests that the load would serve.
+	// The last replica of a model that loses more than that is not evicted.
+	maxLoss float64
+	// evictRunning reports that a model with running requests may be evicted.
 	//
-	// An unload waits for the runs on its model, and its target takes no other
-	// order meanwhile. Whoever can wait is better off with the first of the
-	// target's models on which nothing runs any more.
-	hurried bool
+	// An unload waits for the running requests of its model, and its target
+	// accepts no other order meanwhile. A load that is not urgent is therefore
+	// ready sooner if it waits until one of the target's models is idle.
+	evictRunning bool
 }
 
-// claim returns what a load for the want may ask.
-func (p *planner) claim(w Want) claim {
-	gain := max(p.Rate[w.Model], float64(w.Waiting)) / float64(p.copies[w.Model]+1)
-	last := w.Waiting > 0 && w.Deadline.Sub(p.Now) <= lastChance
+// limitsFor returns the limits for a load that serves the demand.
+func (p *decider) limitsFor(w Want) evictionLimits {
+	gain := max(p.Rate[w.Model], float64(w.Waiting)) / float64(p.replicas[w.Model]+1)
+	last := w.Waiting > 0 && w.Deadline.Sub(p.Now) <= urgentBefore
 
-	return claim{gain: gain, hurried: gain >= many || last}
+	return evictionLimits{maxLoss: gain, evictRunning: gain >= evictRunningFrom || last}
 }
 
-// victims returns the target's models that may make way, the least loss first.
-func (p *planner) victims(t *Target) []victim {
+// victims returns the target's models that may be evicted, those with the least
+// loss first.
+func (p *decider) victims(t *Target) []victim {
 	var out []victim
 
 	for _, r := range t.Held {
-		if r.Coming || p.Now.Sub(r.Used) < youngAge || p.wants[r.Model].Waiting > 0 {
+		if r.Coming || p.Now.Sub(r.Used) < minIdleTime || p.demandOf[r.Model].Waiting > 0 {
 			continue
 		}
 
@@ -122,7 +125,8 @@
 	return out
 }
 
-// loss is the rate of requests that a copy of the model carries.
-func (p *planner) loss(r Resident) float64 {
-	return p.Rate[r.Model] / float64(max(1, p.copies[r.Model]))
+// loss returns the arrival rate of requests that one replica of the model
+// serves.
+func (p *decider) loss(r Resident) float64 {
+	return p.Rate[r.Model] / float64(max(1, p.replicas[r.Model]))
 }
--- a/internal/placement/swap/store_test.go
+++ b/internal/placement/swap/store_test.go
@@ -112,7 +112,7 @@
 	round := Plan(v)
 	assert.Equal(t, len(round.Moves), 1)
 	assert.Equal(t, round.Moves[0].Load, "m0")
-	assert.Equal(t, round.Moves[0].For, ForWaiting)
+	assert.Equal(t, round.Moves[0].For, ReasonWaiting)
 }
 
 // mostWorth returns the most that so many loads can be worth.
@@ -145,7 +145,7 @@
 
 			if rapid.Bool().Draw(t, "waits") {
 				v.Wants = append(v.Wants, waiting(m))
-				worth = append(worth, max(v.Rate[m], unknownRate))
+				worth = append(worth, max(v.Rate[m], defaultRate))
 			}
 		}
 
@@ -154,7 +154,7 @@
 		for _, m := range Plan(v).Moves {
 			assert.Equal(t, m.From, target.TierRemote)
 
-			got += max(v.Rate[m.Load], unknownRate)
+			got += max(v.Rate[m.Load], defaultRate)
 		}
 
 		// What nobody waits for may come first, but only where it is worth more.
--- a/internal/placement/swap/swap.go
+++ b/internal/placement/swap/swap.go
@@ -1,12 +1,13 @@
-// Package swap decides which model a target loads next and what it gives up
-// for it. Its decisions are pure functions of values: it does no I/O and reads
-// no clock.
+// Package swap decides which model a target loads next and which models it
+// unloads to make room. Its decisions are pure functions of their input: the
+// package does no I/O and reads no clock.
 //
-// It answers the load in which most models are rarely asked for: more models
-// than fit are wanted within a few seconds, each by a request or two, and every
-// model's weights lie on the disks of a few targets. A load from there takes a
-// second or two, which a caller can wait for, so a model is loaded as soon as
-// somebody waits for it, and what was used least lately makes way.
+// It is built for many rarely used models: within a few seconds, more models are
+// requested than fit into memory, each by one or two requests, and the weights
+// of every model are on the disks of a few targets. A load from disk takes one
+// or two seconds, which a client can wait for. A model is therefore loaded as
+// soon as a request waits for it, and the models that carry the fewest requests
+// are evicted.
 package swap
 
 import (
@@ -18,160 +19,170 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/route"
 )
 
-// Resident is a model on a target.
+// Resident is a model in a target's memory.
 type Resident struct {
 	Model string
-	// Running is how many requests run on it, over all entries.
+	// Running is the number of requests that run on the model, over all entries.
 	Running int
 	// Used is when a request last ran or waited there; zero means never.
 	Used time.Time
-	// Coming says that its load has not ended.
+	// Coming reports that the load is still in progress.
 	Coming bool
 }
 
-// Target is a target as the holder sees it.
+// Target is the lease holder's state of a target.
 type Target struct {
 	ID instance.ID
-	// Free says that no order is in hand there and that it takes new ones.
+	// Free reports that no order is in flight there and that the target accepts
+	// new ones.
 	Free bool
-	// FreeIn is how long the order in hand is expected to take yet.
+	// FreeIn is the predicted time until the order in flight ends.
 	FreeIn time.Duration
-	// Serving says that entries send requests there.
+	// Serving reports that entries send requests there.
 	Serving bool
 	Held    []Resident
-	// AtHand tells from where a model would be loaded; a model that is missing
-	// comes from the weight store.
+	// AtHand is the fastest tier that has the weights of a model. A model that
+	// is missing is loaded from the weight store.
 	AtHand map[string]target.Tier
-	// Running is how many requests run on the target.
+	// Running is the number of requests that run on the target.
 	Running int
 }
 
-// Want is what all entries together ask of one model.
+// Want is the demand for one model, summed over all entries.
 type Want struct {
 	Model            string
 	Waiting, Running int
 	// Deadline is the earliest deadline of the waiting requests.
 	Deadline time.Time
-	// Goal is the earliest time by which one of them should begin, of those that
-	// can still be on time; zero means none.
+	// Goal is the earliest time by which a waiting request should start, among
+	// those that can still start on time; zero means that there is none.
 	Goal     time.Time
 	Priority int
 }
 
-// View is all that a plan depends on.
+// View is the complete input of a decision round.
 type View struct {
 	Now    time.Time
 	Engine *route.Engine
 	// Targets are sorted by id.
 	Targets []Target
 	Wants   []Want
-	// Rate is how many requests a second come for each model lately, those that
-	// are refused among them.
+	// Rate is the recent arrival rate of each model in requests per second,
+	// refused requests included.
 	Rate map[string]float64
-	// Habit is the same over a longer time, for loads that are to last.
+	// Habit is the same rate over a longer window, for loads whose benefit
+	// should last.
 	Habit map[string]float64
-	// Promised is since when callers are told from when on they can have a model
-	// that the weight store could not load yet.
+	// Promised is the time since which clients have been given a ready time for
+	// a model that the weight store could not load yet.
 	Promised map[string]time.Time
-	// Risk is how likely a target is gone before a copy of what it holds is had
-	// elsewhere.
+	// Risk is the probability that a target is lost before its models have
+	// another replica.
 	Risk float64
-	// StoreLoads is how many loads from the weight store may start now, and
-	// StoreEnds how long those in hand are expected to take yet.
+	// StoreLoads is the number of loads from the weight store that may start
+	// now, and StoreEnds holds the predicted remaining times of those in flight.
 	StoreLoads int
 	StoreEnds  []time.Duration
-	// StoreSlower is how many times as long as said a load from the weight store
-	// takes beside those in hand; zero means as long.
+	// StoreSlower is the factor by which the loads in flight slow down another
+	// load from the weight store; zero counts as one.
 	StoreSlower float64
 }
 
-// Move is a load and the unloads that make room for it.
+// Move is a load together with the unloads that make room for it.
 type Move struct {
 	Target instance.ID
 	Unload []string
 	Load   string
-	// Takes is how long the load is expected to take once it is accepted.
+	// Takes is the predicted duration of the load once the engine has accepted
+	// it.
 	Takes time.Duration
 	From  target.Tier
-	// For says why the model is loaded.
+	// For is the reason for the load.
 	For Reason
 }
 
-// Round is what a round decides.
+// Round is the result of a decision round.
 type Round struct {
-	// Moves are the loads to begin now, the most urgent first.
+	// Moves are the loads to start now, the most urgent first.
 	Moves []Move
-	// Ready is how long it takes until models can be had for which requests
-	// wait and which the weight store cannot load yet.
+	// Ready is the predicted time until a model is ready, for models that
+	// requests wait for and that the weight store cannot load yet.
 	Ready map[string]time.Duration
 }
 
 // Reason says why a model is loaded.
 type Reason string
 
-// The reasons for a load.
+// Reasons for a load.
 const (
-	// ForWaiting means that requests wait for a model that is nowhere.
-	ForWaiting Reason = "waiting"
-	// ForLoad means that the model's replicas are crowded.
-	ForLoad Reason = "crowded"
-	// ForLater means that nobody waits yet, but that there is room.
-	ForLater Reason = "later"
+	// ReasonWaiting means that requests wait for a model that has no replica.
+	ReasonWaiting Reason = "waiting"
+	// ReasonCrowded means that the model's replicas are crowded.
+	ReasonCrowded Reason = "crowded"
+	// ReasonAhead means that the model is loaded ahead of demand, because there
+	// is room for it.
+	ReasonAhead Reason = "later"
 )
 
-// planner gathers the moves of one round, which see each other.
-type planner struct {
+// decider collects the swaps of one round. Each of them takes those before it
+// into account.
+type decider struct {
 	*View
 
-	moves []Move
-	// busy are the targets that have a move in this round.
-	busy map[instance.ID]bool
-	// kept is for how long targets are taken by wants that wait for them.
-	kept  map[instance.ID]time.Duration
-	wants map[string]Want
-	// copies is on how many serving targets a model is, or comes, and near on how
-	// many its weights are at hand or loaded.
-	copies, near map[string]int
-	// usual is how many models a serving target has at hand in the mean.
-	usual float64
-	// sought is, for each target, by how many of the models that are nowhere its
-	// disk is sought, each counted by its part among the disks that it is on.
-	sought map[instance.ID][]part
-	// room is a target's memory without what is kept for adapters.
-	room  float64
-	store int
-	// ends is when the weight store's loads in hand end, from now.
-	ends  []time.Duration
-	ready map[string]time.Duration
+	swaps []Move
+	// ordered are the targets that have a swap in this round.
+	ordered map[instance.ID]bool
+	// reserved is, for each target, the total load time of the models that wait
+	// for it.
+	reserved  map[instance.ID]time.Duration
+	demandOf map[string]Want
+	// replicas is the number of serving targets that have the model or are
+	// loading it. nearby is the number of serving targets that have its weights
+	// in memory or on disk.
+	replicas, nearby map[string]int
+	// meanCached is the mean number of cached models per serving target.
+	meanCached float64
+	// contention holds, for each target, the waiting models without a replica
+	// whose weights are on its disk. Each is weighted by one over the number of
+	// targets that have the weights.
+	contention map[instance.ID][]contender
+	// usableMB is a target's memory without the part that is reserved for
+	// adapters.
+	usableMB  float64
+	freeStoreLoads int
+	// storeLoadsEndIn holds the remaining times of the weight store's loads in
+	// flight.
+	storeLoadsEndIn  []time.Duration
+	readyIn map[string]time.Duration
 }
 
-// Plan returns what to do now.
+// Plan decides which swaps to start now.
 func Plan(v *View) Round {
-	p := &planner{
-		View: v, busy: make(map[instance.ID]bool), kept: make(map[instance.ID]time.Duration), wants: make(map[string]Want, len(v.Wants)),
-		copies: make(map[string]int), near: make(map[string]int), room: v.Engine.MemoryMB - Reserve(v.Engine), store: v.StoreLoads,
-		ends: slices.Clone(v.StoreEnds), ready: make(map[string]time.Duration),
+	p := &decider{
+		View: v, ordered: make(map[instance.ID]bool), reserved: make(map[instance.ID]time.Duration), demandOf: make(map[string]Want, len(v.Wants)),
+		replicas: make(map[string]int), nearby: make(map[string]int), usableMB: v.Engine.MemoryMB - adapterReserveMB(v.Engine), freeStoreLoads: v.StoreLoads,
+		storeLoadsEndIn: slices.Clone(v.StoreEnds), readyIn: make(map[string]time.Duration),
 	}
 
 	for _, w := range v.Wants {
-		p.wants[w.Model] = w
+		p.demandOf[w.Model] = w
 	}
 
-	p.count()
-	p.seek()
+	p.countReplicas()
+	p.countContention()
 
 	for _, w := range p.byUrgency() {
-		p.meet(w)
+		p.placeDemanded(w)
 	}
 
 	p.loadFromStore()
-	p.fill()
+	p.loadAheadFromCache()
 
-	return Round{Moves: p.moves, Ready: p.ready}
+	return Round{Moves: p.swaps, Ready: p.readyIn}
 }
 
-// count notes where models are.
-func (p *planner) count() {
+// countReplicas counts where models are loaded and cached.
+func (p *decider) countReplicas() {
 	total, serving := 0, 0
 
 	for i := range p.Targets {
@@ -184,59 +195,60 @@
 		serving++
 
 		for _, r := range t.Held {
-			p.copies[r.Model]++
+			p.replicas[r.Model]++
 
 			if t.AtHand[r.Model] == 0 {
-				p.near[r.Model]++
+				p.nearby[r.Model]++
 			}
 		}
 
 		for model := range t.AtHand {
-			p.near[model]++
+			p.nearby[model]++
 		}
 	}
 
-	p.usual = float64(total) / float64(max(1, serving))
+	p.meanCached = float64(total) / float64(max(1, serving))
 }
 
-// begin adds a move to the round.
-func (p *planner) begin(m Move) {
+// add adds a swap to the round.
+func (p *decider) add(m Move) {
 	if m.From == target.TierRemote {
-		p.store--
-		p.ends = append(p.ends, m.Takes)
+		p.freeStoreLoads--
+		p.storeLoadsEndIn = append(p.storeLoadsEndIn, m.Takes)
 	}
 
-	p.busy[m.Target] = true
-	p.copies[m.Load]++
-	p.moves = append(p.moves, m)
+	p.ordered[m.Target] = true
+	p.replicas[m.Load]++
+	p.swaps = append(p.swaps, m)
 
 	for _, model := range m.Unload {
-		p.copies[model]--
+		p.replicas[model]--
 	}
 }
 
-// choice is a target with what a load there would cost.
-type choice struct {
-	move Move
+// candidate is a target for a load, with what the load would cost there.
+type candidate struct {
+	swap Move
 	cost float64
-	// free says that the target could begin now.
+	// free reports that the target could start the load now.
 	free bool
 }
 
-// place finds the target on which the model would serve soonest at the least
-// loss to others. Where that is one with an order in hand, nothing is begun
-// yet.
+// place starts the load on the target where the model is ready soonest at the
+// least cost to other models. If that target cannot start the load yet, because
+// an order is in flight there or its memory is in use, no load starts in this
+// round and the target's time is reserved.
 //
-// It guards against loads from the weight store while the targets that have
-// the weights on disk are busy for a second: each takes six seconds, in which
-// its target takes no other order, so that a few of them make the next models
-// come from the store as well.
-func (p *planner) place(m route.Model, w Want, why Reason, cl claim) {
-	var best *choice
+// Waiting for such a target avoids loads from the weight store while the targets
+// that have the weights on disk are busy for a second. A load from the store
+// takes six seconds, during which its target accepts no other order, so a few of
+// them force the next models to be loaded from the store as well.
+func (p *decider) place(m route.Model, w Want, why Reason, cl evictionLimits) {
+	var best *candidate
 
 	for i := range p.Targets {
 		t := &p.Targets[i]
-		if !t.Serving || p.busy[t.ID] || holds(t, m.Name) || !t.Free && why == ForLoad {
+		if !t.Serving || p.ordered[t.ID] || holds(t, m.Name) || !t.Free && why == ReasonCrowded {
 			continue
 		}
 
@@ -250,34 +262,36 @@
 	}
 
 	if !best.free {
-		p.kept[best.move.Target] += best.move.Takes
+		p.reserved[best.swap.Target] += best.swap.Takes
 
 		return
 	}
 
-	p.begin(best.move)
+	p.add(best.swap)
 }
 
 func holds(t *Target, model string) bool {
 	return slices.ContainsFunc(t.Held, func(r Resident) bool { return r.Model == model })
 }
 
-// lossWeight turns a model that is given up into seconds of delay: a request
-// a second for the only copy of a model costs as much as two seconds.
-const lossWeight = 2.0
+// evictionWeight converts the eviction of a model into seconds of delay:
+// evicting the only replica of a model with one request per second costs as much
+// as two seconds of delay.
+const evictionWeight = 2.0
 
-// rivalWeight is the seconds of delay that a target is worth to the only model
-// that needs it: a model that could be loaded elsewhere leaves it alone.
-const rivalWeight = 0.5
+// contentionWeight is the cost, in seconds of delay, of taking a target that is
+// the only one for another waiting model. It keeps a model that could be loaded
+// elsewhere off that target.
+const contentionWeight = 0.5
 
-// loadWeight is the seconds of delay that one more running request on a
-// target is worth, because the batch shares its steps.
-const loadWeight = 0.02
+// runningWeight is the cost, in seconds of delay, of each request that runs on a
+// target, because all requests of a batch share its steps.
+const runningWeight = 0.02
 
-func (p *planner) consider(t *Target, m route.Model, w Want, why Reason, cl claim) (choice, bool) {
-	tier, takes := p.tierOf(t, m)
-	if tier == target.TierRemote && (p.store <= 0 || why == ForLoad && !p.isPressed(w)) {
-		return choice{}, false
+func (p *decider) consider(t *Target, m route.Model, w Want, why Reason, cl evictionLimits) (candidate, bool) {
+	tier, takes := p.tierAndTime(t, m)
+	if tier == target.TierRemote && (p.freeStoreLoads <= 0 || why == ReasonCrowded && !p.isOverloaded(w)) {
+		return candidate{}, false
 	}
 
 	victims, loss, wait, ok := p.makeRoom(t, m, cl)
@@ -285,27 +299,28 @@
 	switch {
 	case ok:
 	case tier == target.TierRemote:
-		return choice{}, false
+		return candidate{}, false
 	default:
-		// It has the weights, and room as soon as what it runs has ended.
-		wait = runTime
+		// The target has the weights, and room once its running requests have
+		// ended.
+		wait = maxRunTime
 	}
 
 	if tier == target.TierRemote {
-		wait += time.Duration(nearWeight * float64(len(t.AtHand)) * float64(time.Second))
+		wait += time.Duration(blockedWeight * float64(len(t.AtHand)) * float64(time.Second))
 	}
 
-	kept := p.kept[t.ID]
+	kept := p.reserved[t.ID]
 
-	return choice{
-		move: Move{Target: t.ID, Unload: victims, Load: m.Name, Takes: takes, From: tier, For: why},
-		cost: (t.FreeIn + kept + takes + wait).Seconds() + lossWeight*loss + loadWeight*float64(t.Running) +
-			rivalWeight*p.rivalry(t, m.Name),
+	return candidate{
+		swap: Move{Target: t.ID, Unload: victims, Load: m.Name, Takes: takes, From: tier, For: why},
+		cost: (t.FreeIn + kept + takes + wait).Seconds() + evictionWeight*loss + runningWeight*float64(t.Running) +
+			contentionWeight*p.contentionFor(t, m.Name),
 		free: ok && t.Free && kept == 0,
 	}, true
 }
 
-func (p *planner) tierOf(t *Target, m route.Model) (target.Tier, time.Duration) {
+func (p *decider) tierAndTime(t *Target, m route.Model) (target.Tier, time.Duration) {
 	switch t.AtHand[m.Name] {
 	case target.TierMemory:
 		return target.TierMemory, m.FromMemory
@@ -314,11 +329,11 @@
 	case target.TierRemote:
 	}
 
-	return target.TierRemote, p.fromStore(m)
+	return target.TierRemote, p.storeLoadTime(m)
 }
 
-// fromStore returns how long a load of the model from the weight store takes
-// now.
-func (p *planner) fromStore(m route.Model) time.Duration {
+// storeLoadTime returns the duration of a load of the model from the weight
+// store that starts now.
+func (p *decider) storeLoadTime(m route.Model) time.Duration {
 	return time.Duration(float64(m.FromStore) * max(1, p.StoreSlower))
 }
--- a/internal/placement/swap/swap_test.go
+++ b/internal/placement/swap/swap_test.go
@@ -67,10 +67,10 @@
 	}
 
 	many3 := waiting("m3")
-	many3.Waiting = many
+	many3.Waiting = evictRunningFrom
 
 	last := waiting("m3")
-	last.Deadline = now.Add(lastChance)
+	last.Deadline = now.Add(urgentBefore)
 
 	cases := map[string]struct {
 		targets []Target
@@ -108,7 +108,7 @@
 			[]Target{on("a").disk("m3", "m4"), on("b").disk("m3", "m4")}, []Want{waiting("m3"), waiting("m4")}, nil, []string{"a m3 []", "b m4 []"},
 		},
 		"another copy of what is crowded": {
-			[]Target{on("a", "m0"), on("b").disk("m0")}, []Want{{Model: "m0", Running: crowded(engine(6)) + 1}}, nil, []string{"b m0 []"},
+			[]Target{on("a", "m0"), on("b").disk("m0")}, []Want{{Model: "m0", Running: crowdedAbove(engine(6)) + 1}}, nil, []string{"b m0 []"},
 		},
 		"no model that the operators do not have": {[]Target{on("a")}, []Want{waiting("other")}, nil, nil},
 	}
@@ -137,13 +137,13 @@
 		rate           float64
 		want           bool
 	}{
-		"crowded":                                     {pressed(engine(1)), 4, 0, false},
-		"pressed":                                     {pressed(engine(1)) + 1, 4, 0, true},
-		"pressed, the store is not":                   {pressed(engine(1)) + 1, urgentStore, 0, false},
-		"much surplus takes the last load":            {2 * pressed(engine(1)), urgentStore, 2 * muchWorth, true},
-		"much surplus, but no load is left":           {2 * pressed(engine(1)), 0, 2 * muchWorth, false},
-		"much demand, little of it is surplus":        {pressed(engine(1)) + 1, urgentStore, 2 * muchWorth, false},
-		"many wait, but hardly any have come of late": {4 * pressed(engine(1)), urgentStore, muchWorth / 2, false},
+		"crowded":                                     {overloadedAbove(engine(1)), 4, 0, false},
+		"pressed":                                     {overloadedAbove(engine(1)) + 1, 4, 0, true},
+		"pressed, the store is not":                   {overloadedAbove(engine(1)) + 1, reservedStoreLoads, 0, false},
+		"much surplus takes the last load":            {2 * overloadedAbove(engine(1)), reservedStoreLoads, 2 * highWorth, true},
+		"much surplus, but no load is left":           {2 * overloadedAbove(engine(1)), 0, 2 * highWorth, false},
+		"much demand, little of it is surplus":        {overloadedAbove(engine(1)) + 1, reservedStoreLoads, 2 * highWorth, false},
+		"many wait, but hardly any have come of late": {4 * overloadedAbove(engine(1)), reservedStoreLoads, highWorth / 2, false},
 	} {
 		moves := Plan(&View{
 			Now: now, Engine: engine(1), Targets: []Target{on("a", "m0"), on("b")}, Wants: []Want{{Model: "m0", Running: c.running}}, StoreLoads: c.store,
@@ -174,7 +174,7 @@
 			var got []string
 			for _, m := range Plan(&View{Now: now, Engine: engine(6), Targets: c.targets, StoreLoads: c.store}).Moves {
 				got = append(got, fmt.Sprintf("%s %s %t", m.Target, m.Load, m.From == target.TierRemote))
-				assert.Equal(t, m.For, ForLater)
+				assert.Equal(t, m.For, ReasonAhead)
 			}
 
 			assert.DeepEqual(t, got, c.want)
--- a/internal/placement/swap/urgency.go
+++ b/internal/placement/swap/urgency.go
@@ -8,19 +8,20 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// part is how much one model needs a target: its share of the disks that the
-// model is on.
-type part struct {
+// contender is a model that needs a target, weighted by one over the number of
+// targets that have its weights.
+type contender struct {
 	model string
-	share float64
+	weight float64
 }
 
-// seek notes which targets' disks the models that are nowhere are on.
-func (p *planner) seek() {
-	p.sought = make(map[instance.ID][]part)
+// countContention records which targets have the weights of waiting models
+// without a replica.
+func (p *decider) countContention() {
+	p.contention = make(map[instance.ID][]contender)
 
 	for _, w := range p.Wants {
-		if p.copies[w.Model] > 0 || w.Waiting == 0 {
+		if p.replicas[w.Model] > 0 || w.Waiting == 0 {
 			continue
 		}
 
@@ -33,39 +34,39 @@
 		}
 
 		for _, id := range on {
-			p.sought[id] = append(p.sought[id], part{w.Model, 1 / float64(len(on))})
+			p.contention[id] = append(p.contention[id], contender{w.Model, 1 / float64(len(on))})
 		}
 	}
 }
 
-// rivalry returns how much other models that wait need the target.
-func (p *planner) rivalry(t *Target, model string) float64 {
+// contentionFor returns how much other waiting models need the target.
+func (p *decider) contentionFor(t *Target, model string) float64 {
 	sum := 0.0
 
-	for _, other := range p.sought[t.ID] {
-		if other.model != model && p.copies[other.model] == 0 {
-			sum += other.share
+	for _, other := range p.contention[t.ID] {
+		if other.model != model && p.replicas[other.model] == 0 {
+			sum += other.weight
 		}
 	}
 
 	return sum
 }
 
-// byUrgency orders the wants: models that are nowhere before crowded ones, then
-// what is due now before what can wait, each by when it is due.
+// byUrgency sorts the demand: models without a replica before crowded ones, then
+// those that are due now before those that can wait, each by due time.
 //
-// It answers bursts for rare models, in which more loads are wanted than targets
-// can take: by deadline alone those that had waited longest went first, and
-// nearly all began late. What is late already has time until its deadline comes
-// near.
-func (p *planner) byUrgency() []Want {
+// It handles bursts for rarely used models, in which more loads are needed than
+// targets can accept. An order by deadline alone would serve the requests that
+// have waited longest first, and nearly all would start late. A request that has
+// already missed its goal can wait until its deadline is near.
+func (p *decider) byUrgency() []Want {
 	sorted := slices.Clone(p.Wants)
 	slices.SortStableFunc(sorted, func(a, b Want) int {
-		dueA, waitsA := p.due(&a)
-		dueB, waitsB := p.due(&b)
+		dueA, waitsA := p.dueAt(&a)
+		dueB, waitsB := p.dueAt(&b)
 
 		return cmp.Or(
-			cmp.Compare(min(p.copies[a.Model], 1), min(p.copies[b.Model], 1)),
+			cmp.Compare(min(p.replicas[a.Model], 1), min(p.replicas[b.Model], 1)),
 			cmp.Compare(waitsA, waitsB),
 			dueA.Compare(dueB),
 			cmp.Compare(a.Model, b.Model),
@@ -75,18 +76,17 @@
 	return sorted
 }
 
-// lastChance is how long before its deadline a request that is late already
-// counts like one that is not.
-const lastChance = 1500 * time.Millisecond
+// urgentBefore is how long before its deadline a request that has missed its
+// goal counts as due again.
+const urgentBefore = 1500 * time.Millisecond
 
-// due returns when a want should be met, and one if it can wait for others, or
-// else zero.
-func (p *planner) due(w *Want) (time.Time, int) {
+// dueAt returns when a demand is due, and 1 if it can wait for others, else 0.
+func (p *decider) dueAt(w *Want) (time.Time, int) {
 	if !w.Goal.IsZero() && p.Now.Add(p.Engine.Models[w.Model].FromDisk).Before(w.Goal) {
 		return w.Goal, 0
 	}
 
-	if w.Deadline.Sub(p.Now) <= lastChance {
+	if w.Deadline.Sub(p.Now) <= urgentBefore {
 		return w.Deadline, 0
 	}
 
