--- a/internal/placement/demand/demand.go
+++ b/internal/placement/demand/demand.go
@@ -14,7 +14,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/placement/replica"
 )
 
-// Use is the number of an entry's requests that run on a replica.
+// Use counts an entry's requests on one replica.
 type Use struct {
 	ledger.Key
 
@@ -61,8 +61,8 @@
 	b.entries[r.Entry] = received{Report: r, at: now}
 }
 
-// Merged returns the demand of all entries, one item per model, sorted by model.
-// It deletes expired reports.
+// Merged returns the demand of all entries, one element per model, sorted by
+// model. It deletes expired reports.
 func (b *Book) Merged(now time.Time) []replica.Demand {
 	merged := make(map[string]*replica.Demand)
 
--- a/internal/placement/history/history.go
+++ b/internal/placement/history/history.go
@@ -38,7 +38,8 @@
 	// slots is the probability of use by kind of day and time of day, as a
 	// fraction of fullProbability.
 	slots [dayKinds][daySlots]uint8
-	// today marks the slots in which the model was used on the day in day.
+	// today marks the slots in which the model was used on the current day,
+	// whose number since 1970 is day.
 	today [daySlots]bool
 	day   int64
 	last  time.Time
--- a/internal/placement/replica/best.go
+++ b/internal/placement/replica/best.go
@@ -12,7 +12,8 @@
 	"github.com/fulmarcross/fulmarcross/internal/platform/weight"
 )
 
-// candidate is the target that was chosen for a load.
+// candidate is a target for a load. It carries what a load there would evict and
+// cost.
 type candidate struct {
 	// at is the target's index. If it is -1, reason says why there is no target.
 	at      int
@@ -235,7 +236,8 @@
 		return reload * nextUseWeight(d.Now.Sub(r.State.LastUsed))
 	}
 
-	// The predicted uses within the window in which the eviction saves memory.
+	// The predicted number of uses in the time for which the eviction frees the
+	// memory.
 	uses := d.Forecast.Rate(r.Model, d.Now, lossWindow) * lossWindow.Seconds()
 
 	return reload * uses / (1 + uses)
@@ -244,7 +246,8 @@
 // lossWindow is the time over which the loss of a replica is predicted.
 const lossWindow = 10 * time.Minute
 
-// nextUseWeight decreases from one to zero with the time until the next use.
+// nextUseWeight decreases from one to zero with the time since the last use,
+// which stands for the time until the next one.
 func nextUseWeight(d time.Duration) float64 {
 	return 1 / (1 + float64(max(0, d))/float64(lossWindow))
 }
--- a/internal/placement/replica/decide.go
+++ b/internal/placement/replica/decide.go
@@ -120,7 +120,7 @@
 // isLost reports whether the row's target is unknown or lost, so that the
 // replica serves no requests.
 func (d *decider) isLost(r *ledger.Row) bool {
-	at, ok := d.targetOf(r)
+	at, ok := d.targetIndex(r)
 
 	return !ok || d.Targets[at].Lost
 }
@@ -144,7 +144,7 @@
 	slots := 0
 
 	for _, r := range d.Book.Model(dem.Model) {
-		if at, ok := d.targetOf(r); ok && !r.State.Retiring {
+		if at, ok := d.targetIndex(r); ok && !r.State.Retiring {
 			slots += d.Targets[at].Slots
 		}
 	}
@@ -152,7 +152,7 @@
 	return float64(dem.Waiting+dem.Running) > d.Terms.ScaleUp*float64(slots)
 }
 
-func (d *decider) targetOf(r *ledger.Row) (int, bool) {
+func (d *decider) targetIndex(r *ledger.Row) (int, bool) {
 	return slices.BinarySearchFunc(d.Targets, r, func(t Target, r *ledger.Row) int {
 		return cmp.Compare(t.ID, r.Target)
 	})
@@ -239,7 +239,8 @@
 	}
 
 	if d.demanded[base.Name] && base.Name != dem.Model {
-		// Another demand of this round has placed the base, or failed to.
+		// Another demand of this round has placed the base already, or found no
+		// target for it.
 		return
 	}
 
@@ -293,8 +294,9 @@
 // is in use. It is also the predicted wait for memory or a target.
 const retryAfterBusy = 2 * time.Second
 
-// denyFor handles a demand for which no target was found. Causes that may pass,
-// such as memory that is in use, are waited out while the deadline allows it.
+// denyFor handles a demand for which no target was found. If the cause may pass,
+// such as memory that is in use, the requests keep waiting as long as their
+// deadline allows a wait for memory and the load.
 func (d *decider) denyFor(cp weight.Checkpoint, dem Demand, reason string) {
 	if ready, _ := d.count(cp.Name); ready > 0 {
 		return
@@ -335,11 +337,11 @@
 	return 0, false
 }
 
-func backoff(t Terms, failures int, model string) time.Duration {
+func backoff(terms Terms, failures int, model string) time.Duration {
 	const half = 0.5
 
-	wait := float64(t.RetryBase) * math.Pow(2, float64(min(max(failures, 1), 16)-1)) //nolint:mnd // Doubles for up to 16 failures.
-	wait = min(wait, float64(t.RetryMax))
+	wait := float64(terms.RetryBase) * math.Pow(2, float64(min(max(failures, 1), 16)-1)) //nolint:mnd // Doubles for up to 16 failures.
+	wait = min(wait, float64(terms.RetryMax))
 
 	return time.Duration(wait * (half + half*jitter(model)))
 }
--- a/internal/placement/replica/idle.go
+++ b/internal/placement/replica/idle.go
@@ -141,7 +141,7 @@
 		return false
 	}
 
-	at, ok := d.targetOf(r)
+	at, ok := d.targetIndex(r)
 	if !ok {
 		return false
 	}
--- a/internal/placement/replica/weigh.go
+++ b/internal/placement/replica/weigh.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Ranges of the weights between which Weigh interpolates.
+// Bounds of the weights between which Weigh interpolates.
 const (
 	minKeepAlive = 30 * time.Second
 	maxKeepAlive = 30 * time.Minute
--- a/internal/placement/swap/exhaustive_test.go
+++ b/internal/placement/swap/exhaustive_test.go
@@ -12,21 +12,21 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/target"
 )
 
-// drawCase returns a random small case: a few targets, each with the weights of
+// randomCase returns a random small case: a few targets, each with the weights of
 // some models on disk, and models without a replica that requests wait for.
-func drawCase(r *rand.Rand) *View {
+func randomCase(r *rand.Rand) *View {
 	const models = 8
 
 	v := &View{Now: now, Engine: engine(models)}
 
 	for i := range 2 + r.IntN(3) {
-		t := on(instance.ID(fmt.Sprint("t", i)))
+		t := targetWith(instance.ID(fmt.Sprint("t", i)))
 		t.Running = r.IntN(6)
 
 		for m := range models {
 			switch {
 			case r.IntN(4) == 0:
-				t = t.disk(fmt.Sprint("m", m))
+				t = t.withDisk(fmt.Sprint("m", m))
 			case m >= 5 && r.IntN(2) == 0:
 				t.Held = append(t.Held, Resident{Model: fmt.Sprint("m", m), Used: now.Add(-time.Minute)})
 			}
@@ -46,20 +46,20 @@
 
 // best returns the maximum number of models that any assignment to different
 // targets can start to load from disk now.
-func best(v *View, want int, taken map[instance.ID]bool) int {
-	if want == len(v.Wants) {
+func best(v *View, next int, taken map[instance.ID]bool) int {
+	if next == len(v.Wants) {
 		return 0
 	}
 
-	most := best(v, want+1, taken)
+	most := best(v, next+1, taken)
 
 	for _, t := range v.Targets {
-		if taken[t.ID] || t.AtHand[v.Wants[want].Model] != target.TierDisk {
+		if taken[t.ID] || t.AtHand[v.Wants[next].Model] != target.TierDisk {
 			continue
 		}
 
 		taken[t.ID] = true
-		most = max(most, 1+best(v, want+1, taken))
+		most = max(most, 1+best(v, next+1, taken))
 		delete(taken, t.ID)
 	}
 
@@ -79,7 +79,7 @@
 	worse, started, possible := 0, 0, 0
 
 	for range cases {
-		v := drawCase(r)
+		v := randomCase(r)
 		n := 0
 
 		for _, m := range Plan(v).Moves {
--- a/internal/placement/swap/fill.go
+++ b/internal/placement/swap/fill.go
@@ -17,8 +17,8 @@
 	shuffleInterval = 10 * time.Second
 )
 
-// loadAheadFromCache loads models without a replica into free memory, from
-// targets' memory or disk.
+// loadAheadFromCache loads models without a replica into free memory of targets
+// that have their weights in host memory or on disk.
 //
 // It handles the first minutes, in which a third of the memory is empty:
 // requests for a rarely used model that is already loaded are served at once.
@@ -30,7 +30,7 @@
 		return
 	}
 
-	for _, m := range d.modelsNowhere() {
+	for _, m := range d.unloadedModels() {
 		if len(free) <= reserved {
 			return
 		}
@@ -77,9 +77,9 @@
 	return n
 }
 
-// modelsNowhere returns the models without a replica, those with the highest
+// unloadedModels returns the models without a replica, those with the highest
 // rate first.
-func (d *decider) modelsNowhere() []route.Model {
+func (d *decider) unloadedModels() []route.Model {
 	var out []route.Model
 
 	for _, m := range d.Engine.Models {
--- a/internal/placement/swap/odd_test.go
+++ b/internal/placement/swap/odd_test.go
@@ -22,15 +22,15 @@
 		loads   int
 		never   bool
 	}{
-		"complete configuration":          {route.Engine{MemoryMB: 30, Slots: 8, Models: map[string]route.Model{"m0": plain}}, []Target{on("a")}, 1, false},
-		"no slots":                        {route.Engine{MemoryMB: 30, Models: map[string]route.Model{"m0": plain}}, []Target{on("a")}, 1, false},
-		"negative number of cache tokens": {route.Engine{MemoryMB: 30, Slots: 8, CacheTokens: -1, Models: map[string]route.Model{"m0": plain}}, []Target{on("a")}, 1, false},
-		"no load times":                   {route.Engine{MemoryMB: 30, Models: map[string]route.Model{"m0": {Name: "m0", MB: 10}}}, []Target{on("a")}, 1, false},
-		"model without a size":            {route.Engine{MemoryMB: 30, Models: map[string]route.Model{"m0": {Name: "m0"}}}, []Target{on("a")}, 1, false},
-		"model larger than any target":    {route.Engine{MemoryMB: 5, Models: map[string]route.Model{"m0": plain}}, []Target{on("a")}, 0, true},
-		"targets without memory":          {route.Engine{Models: map[string]route.Model{"m0": plain}}, []Target{on("a")}, 0, true},
+		"complete configuration":          {route.Engine{MemoryMB: 30, Slots: 8, Models: map[string]route.Model{"m0": plain}}, []Target{targetWith("a")}, 1, false},
+		"no slots":                        {route.Engine{MemoryMB: 30, Models: map[string]route.Model{"m0": plain}}, []Target{targetWith("a")}, 1, false},
+		"negative number of cache tokens": {route.Engine{MemoryMB: 30, Slots: 8, CacheTokens: -1, Models: map[string]route.Model{"m0": plain}}, []Target{targetWith("a")}, 1, false},
+		"no load times":                   {route.Engine{MemoryMB: 30, Models: map[string]route.Model{"m0": {Name: "m0", MB: 10}}}, []Target{targetWith("a")}, 1, false},
+		"model without a size":            {route.Engine{MemoryMB: 30, Models: map[string]route.Model{"m0": {Name: "m0"}}}, []Target{targetWith("a")}, 1, false},
+		"model larger than any target":    {route.Engine{MemoryMB: 5, Models: map[string]route.Model{"m0": plain}}, []Target{targetWith("a")}, 0, true},
+		"targets without memory":          {route.Engine{Models: map[string]route.Model{"m0": plain}}, []Target{targetWith("a")}, 0, true},
 		"no targets":                      {route.Engine{MemoryMB: 30, Models: map[string]route.Model{"m0": plain}}, nil, 0, false},
-		"no models":                       {route.Engine{MemoryMB: 30}, []Target{on("a")}, 0, false},
+		"no models":                       {route.Engine{MemoryMB: 30}, []Target{targetWith("a")}, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			round := Plan(&View{
--- a/internal/placement/swap/replica.go
+++ b/internal/placement/swap/replica.go
@@ -47,8 +47,7 @@
 
 // addReplicas adds replicas of a crowded model, several at once. When demand
 // moves to another model, its requests accumulate on one replica within a
-// second. If the loads were started one after another, requests would wait for
-// all earlier loads.
+// second. With one load after another, they would wait for all the loads.
 func (d *decider) addReplicas(m route.Model, dem Want) {
 	perReplica := crowdedAbove(d.Engine)
 	desired := (dem.Waiting + dem.Running + perReplica - 1) / perReplica
--- a/internal/placement/swap/room.go
+++ b/internal/placement/swap/room.go
@@ -50,8 +50,8 @@
 	return free
 }
 
-// makeRoom returns the models to unload so that the model fits, the loss to
-// those models and the time that the unloads take.
+// makeRoom returns the models to unload so that the model fits, the total loss
+// of these evictions and the time that the unloads take.
 func (d *decider) makeRoom(t *Target, m route.Model, limits evictionLimits) (models []string, loss float64, wait time.Duration, ok bool) {
 	free := d.freeMB(t)
 	if free >= m.MB {
@@ -81,8 +81,9 @@
 
 // evictionLimits limits what may be evicted for a load.
 type evictionLimits struct {
-	// maxLoss is the rate, or the number, of requests that the load would serve.
-	// The last replica of a model that loses more than that is not evicted.
+	// maxLoss is the largest loss for which the last replica of a model may be
+	// evicted. It follows from the rate, or the number, of requests that the
+	// load would serve.
 	maxLoss float64
 	// evictRunning reports that a model with running requests may be evicted.
 	//
--- a/internal/placement/swap/store_test.go
+++ b/internal/placement/swap/store_test.go
@@ -19,12 +19,12 @@
 // few loads: the models with the most requests and, before targets leave, also a
 // spare replica of such a model.
 func TestStoreByWorth(t *testing.T) {
-	empty := []Target{on("a"), on("b")}
-	old := func() Target { return on("old", "m0", "m1").disk("m0", "m1", "m4", "m5") }
+	empty := []Target{targetWith("a"), targetWith("b")}
+	old := func() Target { return targetWith("old", "m0", "m1").withDisk("m0", "m1", "m4", "m5") }
 
 	cases := map[string]struct {
 		targets []Target
-		wants   []Want
+		demands []Want
 		rate    map[string]float64
 		risk    float64
 		store   int
@@ -41,19 +41,19 @@
 			empty, []Want{{Model: "m2", Waiting: 1}, {Model: "m3", Waiting: 60}}, nil, 0, 1, []string{"m3 waiting"},
 		},
 		"spare replica of the busiest model before its target is lost": {
-			[]Target{old(), on("a")}, nil, map[string]float64{"m0": 30, "m2": 0.2}, 0.5, 2, []string{"m0 later"},
+			[]Target{old(), targetWith("a")}, nil, map[string]float64{"m0": 30, "m2": 0.2}, 0.5, 2, []string{"m0 later"},
 		},
 		"rarely used model without a replica while targets are stable": {
-			[]Target{old(), old().older(), on("a")}, nil, map[string]float64{"m0": 30, "m2": 0.2}, 0.02, 2, []string{"m2 later"},
+			[]Target{old(), old().older(), targetWith("a")}, nil, map[string]float64{"m0": 30, "m2": 0.2}, 0.02, 2, []string{"m2 later"},
 		},
 		"last load is reserved for waiting requests": {
-			[]Target{old().older(), on("a")}, nil, map[string]float64{"m0": 3, "m2": 0.2}, 0.2, 1, nil,
+			[]Target{old().older(), targetWith("a")}, nil, map[string]float64{"m0": 3, "m2": 0.2}, 0.2, 1, nil,
 		},
 		"load of high worth takes the last load": {
-			[]Target{old().older(), on("a")}, []Want{waiting("m2")}, map[string]float64{"m0": 30, "m2": 0.2}, 0.5, 1, []string{"m0 later"},
+			[]Target{old().older(), targetWith("a")}, []Want{waiting("m2")}, map[string]float64{"m0": 30, "m2": 0.2}, 0.5, 1, []string{"m0 later"},
 		},
 		"load of high worth evicts a model of low worth": {
-			[]Target{old().older(), on("a", "m1", "m2", "m3")}, nil, map[string]float64{"m0": 30, "m1": 2, "m2": 0.1, "m3": 2}, 0.5, 1, []string{"m0 later"},
+			[]Target{old().older(), targetWith("a", "m1", "m2", "m3")}, nil, map[string]float64{"m0": 30, "m1": 2, "m2": 0.1, "m3": 2}, 0.5, 1, []string{"m0 later"},
 		},
 		"no load ahead from the store on targets with cached models": {
 			[]Target{old(), old().older()}, nil, map[string]float64{"m2": 0.5}, 0.02, 4, nil,
@@ -62,7 +62,7 @@
 
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			round := Plan(&View{Now: now, Engine: engine(6), Targets: c.targets, Wants: c.wants, Rate: c.rate, Risk: c.risk, StoreLoads: c.store})
+			round := Plan(&View{Now: now, Engine: engine(6), Targets: c.targets, Wants: c.demands, Rate: c.rate, Risk: c.risk, StoreLoads: c.store})
 
 			var got []string
 			for _, m := range round.Moves {
@@ -86,7 +86,7 @@
 // of higher worth.
 func TestPredictReady(t *testing.T) {
 	v := &View{
-		Now: now, Engine: engine(4), Targets: []Target{on("a"), on("b")},
+		Now: now, Engine: engine(4), Targets: []Target{targetWith("a"), targetWith("b")},
 		Wants:     []Want{waiting("m0"), waiting("m1"), waiting("m2"), waiting("m3")},
 		Rate:      map[string]float64{"m0": 1, "m1": 4, "m2": 3, "m3": 2},
 		StoreEnds: []time.Duration{2 * time.Second}, StoreLoads: 1,
@@ -103,7 +103,7 @@
 // time, clients that come back at the promised time would be refused again.
 func TestEarliestPromiseFirst(t *testing.T) {
 	v := &View{
-		Now: now, Engine: engine(4), Targets: []Target{on("a", "m3")}, StoreLoads: 1, Wants: []Want{waiting("m1"), waiting("m2")},
+		Now: now, Engine: engine(4), Targets: []Target{targetWith("a", "m3")}, StoreLoads: 1, Wants: []Want{waiting("m1"), waiting("m2")},
 		Rate:     map[string]float64{"m0": 0.05, "m1": 0.16, "m2": 0.16},
 		Habit:    map[string]float64{"m0": 0.2, "m1": 0.05, "m2": 0.05},
 		Promised: map[string]time.Time{"m0": now.Add(-5 * time.Second)},
@@ -135,7 +135,7 @@
 		v := &View{Now: now, Engine: engine(8), Rate: map[string]float64{}, StoreLoads: rapid.IntRange(0, 4).Draw(t, "store")}
 
 		for i := range rapid.IntRange(1, 5).Draw(t, "targets") {
-			v.Targets = append(v.Targets, on(instance.ID(fmt.Sprint("t", i))))
+			v.Targets = append(v.Targets, targetWith(instance.ID(fmt.Sprint("t", i))))
 		}
 
 		var worth []float64
--- a/internal/placement/swap/swap.go
+++ b/internal/placement/swap/swap.go
@@ -19,7 +19,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/route"
 )
 
-// Resident is a model in a target's memory.
+// Resident is a model that is loaded, or being loaded, on a target.
 type Resident struct {
 	Model string
 	// Running is the number of requests that run on the model, over all entries.
@@ -41,8 +41,8 @@
 	// Serving reports that entries send requests there.
 	Serving bool
 	Held    []Resident
-	// AtHand is the fastest tier that has the weights of a model. A model that
-	// is missing is loaded from the weight store.
+	// AtHand is, for each model, the fastest tier of the target that has its
+	// weights. A model that is missing is loaded from the weight store.
 	AtHand map[string]target.Tier
 	// Running is the number of requests that run on the target.
 	Running int
@@ -73,8 +73,8 @@
 	// Habit is the same rate over a longer window, for loads whose benefit
 	// should last.
 	Habit map[string]float64
-	// Promised is the time since which clients have been given a ready time for
-	// a model that the weight store could not load yet.
+	// Promised is, for each model that the weight store could not load yet, the
+	// time since which clients have been given a ready time.
 	Promised map[string]time.Time
 	// Risk is the probability that a target is lost before its models have
 	// another replica.
--- a/internal/placement/swap/swap_test.go
+++ b/internal/placement/swap/swap_test.go
@@ -29,8 +29,8 @@
 	return e
 }
 
-// on returns a target that holds models, all last used a minute ago.
-func on(id instance.ID, models ...string) Target {
+// targetWith returns a target that holds models, all last used a minute ago.
+func targetWith(id instance.ID, models ...string) Target {
 	t := Target{ID: id, Free: true, Serving: true, AtHand: map[string]target.Tier{}}
 	for _, m := range models {
 		t.Held = append(t.Held, Resident{Model: m, Used: now.Add(-time.Minute)})
@@ -39,7 +39,7 @@
 	return t
 }
 
-func (t Target) disk(models ...string) Target {
+func (t Target) withDisk(models ...string) Target {
 	for _, m := range models {
 		t.AtHand[m] = target.TierDisk
 	}
@@ -52,16 +52,16 @@
 }
 
 func TestDecide(t *testing.T) {
-	busy := on("a", "m0").disk("m3")
+	busy := targetWith("a", "m0").withDisk("m3")
 	busy.Free, busy.FreeIn = false, time.Second
 
 	long := busy
 	long.FreeIn = 9 * time.Second
 
-	running := on("a", "m0", "m1", "m2")
+	running := targetWith("a", "m0", "m1", "m2")
 	running.Held[0].Running = 1
 
-	allRun := on("a", "m0", "m1", "m2").disk("m3")
+	allRun := targetWith("a", "m0", "m1", "m2").withDisk("m3")
 	for i := range allRun.Held {
 		allRun.Held[i].Running = 1
 	}
@@ -74,48 +74,48 @@
 
 	cases := map[string]struct {
 		targets []Target
-		wants   []Want
+		demands []Want
 		rate    map[string]float64
 		// want is the swaps as target, load and unloads.
 		want []string
 	}{
-		"from disk rather than from the store":                                       {[]Target{on("a"), on("b").disk("m3")}, []Want{waiting("m3")}, nil, []string{"b m3 []"}},
-		"from the store if no target has the weights":                                {[]Target{on("a")}, []Want{waiting("m3")}, nil, []string{"a m3 []"}},
-		"no load of a resident model":                                                {[]Target{on("a", "m3")}, []Want{waiting("m3")}, nil, nil},
+		"from disk rather than from the store":                                       {[]Target{targetWith("a"), targetWith("b").withDisk("m3")}, []Want{waiting("m3")}, nil, []string{"b m3 []"}},
+		"from the store if no target has the weights":                                {[]Target{targetWith("a")}, []Want{waiting("m3")}, nil, []string{"a m3 []"}},
+		"no load of a resident model":                                                {[]Target{targetWith("a", "m3")}, []Want{waiting("m3")}, nil, nil},
 		"no order to a target with an order in flight":                               {[]Target{busy}, []Want{waiting("m3")}, nil, nil},
-		"wait for a target with the weights on disk rather than load from the store": {[]Target{busy, on("b")}, []Want{waiting("m3")}, nil, nil},
-		"from the store if the target with the weights is busy for long":             {[]Target{long, on("b")}, []Want{waiting("m3")}, nil, []string{"b m3 []"}},
-		"idle model is evicted":                                                      {[]Target{running.disk("m3")}, []Want{waiting("m3")}, nil, []string{"a m3 [m1]"}},
+		"wait for a target with the weights on disk rather than load from the store": {[]Target{busy, targetWith("b")}, []Want{waiting("m3")}, nil, nil},
+		"from the store if the target with the weights is busy for long":             {[]Target{long, targetWith("b")}, []Want{waiting("m3")}, nil, []string{"b m3 []"}},
+		"idle model is evicted":                                                      {[]Target{running.withDisk("m3")}, []Want{waiting("m3")}, nil, []string{"a m3 [m1]"}},
 		"model with the lowest rate is evicted": {
-			[]Target{on("a", "m0", "m1", "m2").disk("m3")}, []Want{waiting("m3")}, map[string]float64{"m0": 1, "m1": 0.5, "m2": 2}, []string{"a m3 [m1]"},
+			[]Target{targetWith("a", "m0", "m1", "m2").withDisk("m3")}, []Want{waiting("m3")}, map[string]float64{"m0": 1, "m1": 0.5, "m2": 2}, []string{"a m3 [m1]"},
 		},
 		"model with another replica is evicted": {
-			[]Target{on("a", "m0", "m1", "m2").disk("m3"), on("b", "m2", "m4", "m5")},
+			[]Target{targetWith("a", "m0", "m1", "m2").withDisk("m3"), targetWith("b", "m2", "m4", "m5")},
 			[]Want{waiting("m3")},
 			map[string]float64{"m0": 1, "m1": 1, "m2": 1},
 			[]string{"a m3 [m2]"},
 		},
 		"models with waiting requests are not evicted": {
-			[]Target{on("a", "m0", "m1", "m2").disk("m3")}, []Want{waiting("m0"), waiting("m1"), waiting("m2"), waiting("m3")}, nil, nil,
+			[]Target{targetWith("a", "m0", "m1", "m2").withDisk("m3")}, []Want{waiting("m0"), waiting("m1"), waiting("m2"), waiting("m3")}, nil, nil,
 		},
 		"wait for memory where the weights are rather than load from the store": {
-			[]Target{on("a", "m0", "m1", "m2").disk("m3"), on("b")}, []Want{waiting("m0"), waiting("m1"), waiting("m2"), waiting("m3")}, nil, nil,
+			[]Target{targetWith("a", "m0", "m1", "m2").withDisk("m3"), targetWith("b")}, []Want{waiting("m0"), waiting("m1"), waiting("m2"), waiting("m3")}, nil, nil,
 		},
 		"running model is not evicted for one waiting request": {[]Target{allRun}, []Want{waiting("m3")}, nil, nil},
 		"running model is evicted for many waiting requests":   {[]Target{allRun}, []Want{waitMany}, nil, []string{"a m3 [m0]"}},
 		"running model is evicted shortly before a deadline":   {[]Target{allRun}, []Want{last}, nil, []string{"a m3 [m0]"}},
 		"two models on two targets": {
-			[]Target{on("a").disk("m3", "m4"), on("b").disk("m3", "m4")}, []Want{waiting("m3"), waiting("m4")}, nil, []string{"a m3 []", "b m4 []"},
+			[]Target{targetWith("a").withDisk("m3", "m4"), targetWith("b").withDisk("m3", "m4")}, []Want{waiting("m3"), waiting("m4")}, nil, []string{"a m3 []", "b m4 []"},
 		},
 		"another replica of a crowded model": {
-			[]Target{on("a", "m0"), on("b").disk("m0")}, []Want{{Model: "m0", Running: crowdedAbove(engine(6)) + 1}}, nil, []string{"b m0 []"},
+			[]Target{targetWith("a", "m0"), targetWith("b").withDisk("m0")}, []Want{{Model: "m0", Running: crowdedAbove(engine(6)) + 1}}, nil, []string{"b m0 []"},
 		},
-		"no load of an unknown model": {[]Target{on("a")}, []Want{waiting("other")}, nil, nil},
+		"no load of an unknown model": {[]Target{targetWith("a")}, []Want{waiting("other")}, nil, nil},
 	}
 
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			moves := Plan(&View{Now: now, Engine: engine(6), Targets: c.targets, Wants: c.wants, Rate: c.rate, StoreLoads: 1}).Moves
+			moves := Plan(&View{Now: now, Engine: engine(6), Targets: c.targets, Wants: c.demands, Rate: c.rate, StoreLoads: 1}).Moves
 
 			var got []string
 			for _, m := range moves {
@@ -148,7 +148,7 @@
 		"many requests, low recent rate":    {4 * overloadedAbove(engine(1)), reservedStoreLoads, highWorth / 2, false},
 	} {
 		moves := Plan(&View{
-			Now: now, Engine: engine(1), Targets: []Target{on("a", "m0"), on("b")}, Wants: []Want{{Model: "m0", Running: c.running}}, StoreLoads: c.store,
+			Now: now, Engine: engine(1), Targets: []Target{targetWith("a", "m0"), targetWith("b")}, Wants: []Want{{Model: "m0", Running: c.running}}, StoreLoads: c.store,
 			Rate: map[string]float64{"m0": c.rate},
 		}).Moves
 		assert.Equal(t, len(moves) == 1, c.want, name)
@@ -165,11 +165,11 @@
 		store   int
 		want    []string
 	}{
-		"from disk":                     {[]Target{on("a", "m0").disk("m1"), on("b", "m2", "m3", "m4")}, 1, []string{"a m1 false"}},
-		"half of the targets stay free": {[]Target{on("a", "m0").disk("m1"), on("b", "m2").disk("m3")}, 1, []string{"a m1 false"}},
-		"no eviction":                   {[]Target{on("a", "m0", "m1", "m2").disk("m3"), on("b")}, 1, nil},
-		"from the store if it has more than the reserved loads": {[]Target{on("a"), on("b", "m0", "m1", "m2").disk("m3", "m4")}, 2, []string{"a m5 true"}},
-		"last load of the store is reserved":                    {[]Target{on("a"), on("b", "m0", "m1", "m2").disk("m3", "m4")}, 1, nil},
+		"from disk":                     {[]Target{targetWith("a", "m0").withDisk("m1"), targetWith("b", "m2", "m3", "m4")}, 1, []string{"a m1 false"}},
+		"half of the targets stay free": {[]Target{targetWith("a", "m0").withDisk("m1"), targetWith("b", "m2").withDisk("m3")}, 1, []string{"a m1 false"}},
+		"no eviction":                   {[]Target{targetWith("a", "m0", "m1", "m2").withDisk("m3"), targetWith("b")}, 1, nil},
+		"from the store if it has more than the reserved loads": {[]Target{targetWith("a"), targetWith("b", "m0", "m1", "m2").withDisk("m3", "m4")}, 2, []string{"a m5 true"}},
+		"last load of the store is reserved":                    {[]Target{targetWith("a"), targetWith("b", "m0", "m1", "m2").withDisk("m3", "m4")}, 1, nil},
 	}
 
 	for name, c := range cases {
@@ -203,7 +203,7 @@
 
 		for i := range rapid.IntRange(1, 6).Draw(t, "targets") {
 			held := rapid.SliceOfNDistinct(models, 0, 3, rapid.ID).Draw(t, "held")
-			one := on(instance.ID(fmt.Sprintf("t%d", i)), held...).disk(rapid.SliceOfN(models, 0, 5).Draw(t, "disk")...)
+			one := targetWith(instance.ID(fmt.Sprintf("t%d", i)), held...).withDisk(rapid.SliceOfN(models, 0, 5).Draw(t, "disk")...)
 			one.Free = rapid.Bool().Draw(t, "free")
 
 			for j := range one.Held {
@@ -281,13 +281,13 @@
 			v := &View{Now: now, Engine: engine(size.models), StoreLoads: 4, Rate: map[string]float64{}}
 
 			for i := range size.targets {
-				one := on(instance.ID(fmt.Sprintf("t%04d", i)))
+				one := targetWith(instance.ID(fmt.Sprintf("t%04d", i)))
 				for j := range 3 {
 					one.Held = append(one.Held, Resident{Model: fmt.Sprintf("m%d", (i*3+j)%size.models), Used: now.Add(-time.Minute)})
 				}
 
 				for j := range 20 {
-					one = one.disk(fmt.Sprintf("m%d", (i*7+j)%size.models))
+					one = one.withDisk(fmt.Sprintf("m%d", (i*7+j)%size.models))
 				}
 
 				v.Targets = append(v.Targets, one)
