--- a/internal/placement/swap/swap.go
+++ b/internal/placement/swap/swap.go
@@ -97,7 +97,7 @@
 	// it.
 	Takes time.Duration
 	From  target.Tier
-	// For is the reason for the load.
+	// For says why the model is loaded.
 	For Reason
 }
 
