--- a/internal/placement/history/history.go
+++ b/internal/placement/history/history.go
@@ -1,6 +1,6 @@
-// Package history learns from each model's past uses when it will be used
-// next: from the time between uses, and from the time of day, because mornings
-// repeat. It does no I/O and reads no clock.
+// Package history predicts when each model will be used next from its recorded
+// uses: from the gaps between uses and from the time of day, because daily
+// patterns such as mornings repeat. It does no I/O and reads no clock.
 package history
 
 import (
@@ -9,49 +9,53 @@
 )
 
 const (
-	// gapBuckets count gaps between uses, doubling from one second on; the
-	// last holds all longer ones, from six days on.
+	// gapBuckets is the number of histogram buckets for the gaps between uses.
+	// They double from one second on; the last one holds all gaps of six days
+	// and more.
 	gapBuckets = 20
-	// daySlots divide the day.
+	// daySlots is the number of slots of a day.
 	daySlots = 96
 	slot     = 24 * time.Hour / daySlots
-	// dayKinds tells workdays from the weekend.
+	// dayKinds is the number of kinds of days: workdays and weekends.
 	dayKinds = 2
-	// forget is the weight that a day's use loses to the next day of its kind.
-	forget = 0.25
-	// fade is how much older gaps lose with each new one.
-	fade = 0.98
-	// unit is the slot's full probability as a byte.
-	unit = 255
-	// priorGaps is how many gaps the pooled experience of all models weighs
-	// against a model's own.
+	// dayWeight is the weight of a day's use in the moving average over days of
+	// the same kind.
+	dayWeight = 0.25
+	// gapDecay is the factor by which each new gap reduces the counts of older
+	// ones.
+	gapDecay = 0.98
+	// fullProbability is the byte that stands for a slot's probability of one.
+	fullProbability = 255
+	// priorGaps is the number of a model's own gaps that weigh as much as the
+	// pooled gaps of all models.
 	priorGaps = 4
 )
 
-// Model is one model's past. The zero value has none.
-type Model struct {
-	// gaps counts the gaps between sessions of use, by length. Counts fade.
+// usage is the recorded use of one model. The zero value is empty.
+type usage struct {
+	// gaps counts the gaps between uses, by length. Older counts decay.
 	gaps [gapBuckets]float32
 	// slots is the probability of use by kind of day and time of day, as a
-	// share of unit.
+	// fraction of fullProbability.
 	slots [dayKinds][daySlots]uint8
-	// today marks the slots that were used on the day that day names.
+	// today marks the slots in which the model was used on the current day,
+	// whose number since 1970 is day.
 	today [daySlots]bool
 	day   int64
 	last  time.Time
 }
 
-// Book keeps the pasts of all models. The zero value is empty. It is not safe
-// for concurrent use.
+// Book holds the recorded use of all models. The zero value is empty. It is not
+// safe for concurrent use.
 type Book struct {
-	// Location is where mornings are; nil means UTC.
+	// Location is the time zone of the days; nil means UTC.
 	Location *time.Location
 
-	models map[string]*Model
+	models map[string]*usage
 	pooled [gapBuckets]float32
 }
 
-func (b *Book) local(t time.Time) time.Time {
+func (b *Book) inLocation(t time.Time) time.Time {
 	if b.Location == nil {
 		return t.UTC()
 	}
@@ -68,8 +72,8 @@
 	return min(int(math.Log2(seconds)), gapBuckets-1)
 }
 
-// lower returns where a bucket of gaps begins.
-func lower(bucket int) time.Duration {
+// bucketStart returns the shortest gap of a bucket.
+func bucketStart(bucket int) time.Duration {
 	if bucket == 0 {
 		return 0
 	}
@@ -80,25 +84,25 @@
 // Used records a use of the model.
 func (b *Book) Used(name string, at time.Time) {
 	if b.models == nil {
-		b.models = make(map[string]*Model)
+		b.models = make(map[string]*usage)
 	}
 
 	m := b.models[name]
 	if m == nil {
-		m = &Model{}
+		m = &usage{}
 		b.models[name] = m
 	}
 
-	at = b.local(at)
-	m.turn(at)
+	at = b.inLocation(at)
+	m.finishDays(at)
 	m.today[slotOf(at)] = true
 
 	if !m.last.IsZero() && at.After(m.last) {
 		i := bucketOf(at.Sub(m.last))
 
 		for j := range m.gaps {
-			m.gaps[j] *= fade
-			b.pooled[j] *= 1 - (1-fade)/16 //nolint:mnd // The pool forgets more slowly.
+			m.gaps[j] *= gapDecay
+			b.pooled[j] *= 1 - (1-gapDecay)/16 //nolint:mnd // Pooled counts decay more slowly.
 		}
 
 		m.gaps[i]++
@@ -117,7 +121,7 @@
 }
 
 func kindOf(day int64) int {
-	// Day zero of the count was a Thursday.
+	// Day 0 of the Unix epoch was a Thursday.
 	const thursday, days = 4, 7
 	if weekday := (day + thursday) % days; weekday == 0 || weekday == days-1 {
 		return 1
@@ -130,8 +134,8 @@
 	return (t.Hour()*60 + t.Minute()) / int(slot.Minutes()) //nolint:mnd // Minutes of an hour.
 }
 
-// turn folds finished days into the slots' probabilities.
-func (m *Model) turn(now time.Time) {
+// finishDays updates the slots' probabilities with the days that have ended.
+func (m *usage) finishDays(now time.Time) {
 	day := dayOf(now)
 	if m.day == 0 {
 		m.day = day
@@ -139,48 +143,48 @@
 		return
 	}
 
-	const most = 14
+	const maxDays = 14
 
-	for m.day = max(m.day, day-most); m.day < day; m.day++ {
+	for m.day = max(m.day, day-maxDays); m.day < day; m.day++ {
 		slots := &m.slots[kindOf(m.day)]
 		for i := range slots {
 			target := 0.0
 			if m.today[i] {
-				target = unit
+				target = fullProbability
 			}
 
-			slots[i] = uint8(math.Round(float64(slots[i]) + forget*(target-float64(slots[i]))))
+			slots[i] = uint8(math.Round(float64(slots[i]) + dayWeight*(target-float64(slots[i]))))
 		}
 
 		m.today = [daySlots]bool{}
 	}
 }
 
-// Rate returns how many uses a second the model may be expected to get at its
-// busiest moment between now and ahead from now.
+// Rate returns the predicted number of uses per second of the model at its
+// busiest moment in the given duration from now.
 func (b *Book) Rate(name string, now time.Time, ahead time.Duration) float64 {
 	m := b.models[name]
 	if m == nil {
 		return 0
 	}
 
-	now = b.local(now)
-	m.turn(now)
+	now = b.inLocation(now)
+	m.finishDays(now)
 
 	return max(b.gapRate(m, now.Sub(m.last), ahead), m.slotRate(now, ahead))
 }
 
-// gapRate is the hazard of the gaps: given that the model was idle for so
-// long, how likely is it to be used in the next moment. Few own gaps lean on
-// the experience of all models.
-func (b *Book) gapRate(m *Model, idle, ahead time.Duration) float64 {
+// gapRate returns the hazard rate of the gaps: the probability per second of a
+// use, given how long the model has been idle. A model with few gaps of its own
+// is predicted mostly from the gaps of all models.
+func (b *Book) gapRate(m *usage, idle, ahead time.Duration) float64 {
 	var pooled float64
 	for _, n := range b.pooled {
 		pooled += float64(n)
 	}
 
-	// survivors are the gaps that lasted at least as long as the bucket.
-	survivors := 0.0
+	// atLeast is the number of gaps at least as long as the bucket.
+	atLeast := 0.0
 	best := 0.0
 
 	first, last := bucketOf(idle), bucketOf(idle+ahead)
@@ -191,20 +195,21 @@
 			n += priorGaps * float64(b.pooled[i]) / pooled
 		}
 
-		survivors += n
+		atLeast += n
 
-		if i <= last && survivors > 0 {
-			width := (lower(i+1) - lower(i)).Seconds()
-			best = max(best, n/survivors/width)
+		if i <= last && atLeast > 0 {
+			width := (bucketStart(i+1) - bucketStart(i)).Seconds()
+			best = max(best, n/atLeast/width)
 		}
 	}
 
 	return best
 }
 
-// slotRate is the rate of the time of day. A slot's neighbours count half, so
-// that a morning that begins a little earlier is met as well.
-func (m *Model) slotRate(now time.Time, ahead time.Duration) float64 {
+// slotRate returns the rate that the time of day predicts. The probabilities of
+// neighbouring slots count half, so that a use that begins somewhat earlier or
+// later than usual is predicted as well.
+func (m *usage) slotRate(now time.Time, ahead time.Duration) float64 {
 	best := 0.0
 
 	for t := now; ; t = t.Add(slot) {
@@ -219,25 +224,25 @@
 		}
 	}
 
-	// Of a probability p within the slot, the rate is that of a process which
-	// has none with 1-p.
-	const sure = 0.98
+	// For a use with probability p within the slot, this is the rate of a
+	// Poisson process that has no event with probability 1-p.
+	const maxProbability = 0.98
 
-	return -math.Log(1-min(best, sure)) / slot.Seconds()
+	return -math.Log(1-min(best, maxProbability)) / slot.Seconds()
 }
 
-func (m *Model) slotProbability(t time.Time) float64 {
+func (m *usage) slotProbability(t time.Time) float64 {
 	slots := &m.slots[kindOf(dayOf(t))]
 	at := slotOf(t)
-	here := float64(slots[at]) / unit
-	before := float64(slots[(at+daySlots-1)%daySlots]) / unit
-	after := float64(slots[(at+1)%daySlots]) / unit
+	here := float64(slots[at]) / fullProbability
+	before := float64(slots[(at+daySlots-1)%daySlots]) / fullProbability
+	after := float64(slots[(at+1)%daySlots]) / fullProbability
 
 	return max(here, before/2, after/2) //nolint:mnd // Neighbours count half.
 }
 
-// Candidates returns the models whose rate within ahead is at least the
-// least rate, in no order.
+// Candidates returns the models whose rate in the given duration from now is at
+// least least, in no particular order.
 func (b *Book) Candidates(now time.Time, ahead time.Duration, least float64) []string {
 	var out []string
 
@@ -250,5 +255,5 @@
 	return out
 }
 
-// Len returns how many models have a past.
+// Len returns the number of models with a recorded use.
 func (b *Book) Len() int { return len(b.models) }
--- a/internal/placement/swap/exhaustive_test.go
+++ b/internal/placement/swap/exhaustive_test.go
@@ -12,21 +12,21 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/target"
 )
 
-// drawCase draws a small case: a few targets, each with the weights of some
-// models on disk, and models that are nowhere and waited for.
-func drawCase(r *rand.Rand) *View {
+// randomCase returns a random small case: a few targets, each with the weights of
+// some models on disk, and models without a replica that requests wait for.
+func randomCase(r *rand.Rand) *View {
 	const models = 8
 
 	v := &View{Now: now, Engine: engine(models)}
 
 	for i := range 2 + r.IntN(3) {
-		t := on(instance.ID(fmt.Sprint("t", i)))
+		t := targetWith(instance.ID(fmt.Sprint("t", i)))
 		t.Running = r.IntN(6)
 
 		for m := range models {
 			switch {
 			case r.IntN(4) == 0:
-				t = t.disk(fmt.Sprint("m", m))
+				t = t.withDisk(fmt.Sprint("m", m))
 			case m >= 5 && r.IntN(2) == 0:
 				t.Held = append(t.Held, Resident{Model: fmt.Sprint("m", m), Used: now.Add(-time.Minute)})
 			}
@@ -44,61 +44,62 @@
 	return v
 }
 
-// best returns the most wants that any assignment to different targets can
-// begin from disks now.
-func best(v *View, want int, taken map[instance.ID]bool) int {
-	if want == len(v.Wants) {
+// best returns the maximum number of models that any assignment to different
+// targets can start to load from disk now.
+func best(v *View, next int, taken map[instance.ID]bool) int {
+	if next == len(v.Wants) {
 		return 0
 	}
 
-	most := best(v, want+1, taken)
+	most := best(v, next+1, taken)
 
 	for _, t := range v.Targets {
-		if taken[t.ID] || t.AtHand[v.Wants[want].Model] != target.TierDisk {
+		if taken[t.ID] || t.AtHand[v.Wants[next].Model] != target.TierDisk {
 			continue
 		}
 
 		taken[t.ID] = true
-		most = max(most, 1+best(v, want+1, taken))
+		most = max(most, 1+best(v, next+1, taken))
 		delete(taken, t.ID)
 	}
 
 	return most
 }
 
-// TestPlanAgainstExhaustive: several models are waited for at once, and their
-// weights lie on the disks of a few targets that can each take one order. A
-// model that takes the one target that another needs, while a third would do
-// for it as well, makes the other's callers wait for a second load. Plan is
-// compared with the best of all assignments.
-func TestPlanAgainstExhaustive(t *testing.T) {
+// TestDecideAgainstExhaustive compares Plan with the best of all assignments
+// when requests wait for several models at once, whose weights are on the disks
+// of a few targets that can each accept one order. It guards against a model
+// taking the only target that another model needs although a third target has
+// its weights as well, so that the clients of the other model wait for a second
+// load.
+func TestDecideAgainstExhaustive(t *testing.T) {
 	const cases = 3000
 
 	r := rand.New(rand.NewPCG(7, 7))
-	less, begun, possible := 0, 0, 0
+	worse, started, possible := 0, 0, 0
 
 	for range cases {
-		v := drawCase(r)
+		v := randomCase(r)
 		n := 0
 
 		for _, m := range Plan(v).Moves {
-			if m.For == ForWaiting {
+			if m.For == ReasonWaiting {
 				n++
 			}
 		}
 
-		most := best(v, 0, make(map[instance.ID]bool))
+		maximum := best(v, 0, make(map[instance.ID]bool))
 
-		assert.Assert(t, n <= most, "a load from nowhere")
+		assert.Assert(t, n <= maximum, "Plan started more loads from disk than any assignment can")
 
-		begun += n
-		possible += most
+		started += n
+		possible += maximum
 
-		if n < most {
-			less++
+		if n < maximum {
+			worse++
 		}
 	}
 
-	t.Logf("%d of %d cases begin less than the best, %d of %d loads", less, cases, begun, possible)
-	assert.Equal(t, less, 0)
+	t.Logf("%d of %d cases start fewer loads than the best assignment, %d of %d loads started", worse, cases, started, possible)
+	assert.Equal(t, worse, 0)
 }
--- a/internal/placement/swap/fill.go
+++ b/internal/placement/swap/fill.go
@@ -10,53 +10,52 @@
 )
 
 const (
-	// idleShare is the part of the targets that is left without an order for
-	// requests that come meanwhile.
-	idleShare = 0.5
-	// rotate is how long the order of models that are asked for equally often
-	// stays the same.
-	rotate = 10 * time.Second
+	// reservedTargets is the fraction of the targets that is kept without
+	// orders, for requests that arrive meanwhile.
+	reservedTargets = 0.5
+	// shuffleInterval is how long models with the same rate keep their order.
+	shuffleInterval = 10 * time.Second
 )
 
-// fill loads models that are nowhere into memory that is free, from where they
-// are at hand.
+// loadAheadFromCache loads models without a replica into free memory of targets
+// that have their weights in host memory or on disk.
 //
-// It answers the first minutes, in which a third of the memory is empty: a rare
-// model that is there already is served at once.
-func (p *planner) fill() {
-	free := p.free()
-	left := int(idleShare * float64(p.serving()))
+// It handles the first minutes, in which a third of the memory is empty:
+// requests for a rarely used model that is already loaded are served at once.
+func (d *decider) loadAheadFromCache() {
+	free := d.freeTargets()
+	reserved := int(reservedTargets * float64(d.servingTargets()))
 
-	if len(free) <= left {
+	if len(free) <= reserved {
 		return
 	}
 
-	for _, m := range p.missing() {
-		if len(free) <= left {
+	for _, m := range d.unloadedModels() {
+		if len(free) <= reserved {
 			return
 		}
 
-		at := slices.IndexFunc(free, func(t *Target) bool { return p.fits(t, m) && t.AtHand[m.Name] != 0 })
+		at := slices.IndexFunc(free, func(t *Target) bool { return d.fits(t, m) && t.AtHand[m.Name] != 0 })
 		if at < 0 {
 			continue
 		}
 
 		t := free[at]
-		tier, takes := p.tierOf(t, m)
+		tier, loadTime := d.tierAndTime(t, m)
 
-		p.begin(Move{Target: t.ID, Load: m.Name, Takes: takes, From: tier, For: ForLater})
+		d.add(Move{Target: t.ID, Load: m.Name, Takes: loadTime, From: tier, For: ReasonAhead})
 
 		free = slices.Delete(free, at, at+1)
 	}
 }
 
-// free returns the targets that could take an order now, those with the least
-// to do first.
-func (p *planner) free() []*Target {
+// freeTargets returns the targets that could accept an order now, those with the
+// fewest running requests first.
+func (d *decider) freeTargets() []*Target {
 	var out []*Target
 
-	for i := range p.Targets {
-		if t := &p.Targets[i]; t.Free && t.Serving && !p.busy[t.ID] {
+	for i := range d.Targets {
+		if t := &d.Targets[i]; t.Free && t.Serving && !d.ordered[t.ID] {
 			out = append(out, t)
 		}
 	}
@@ -66,11 +65,11 @@
 	return out
 }
 
-func (p *planner) serving() int {
+func (d *decider) servingTargets() int {
 	n := 0
 
-	for i := range p.Targets {
-		if p.Targets[i].Serving {
+	for i := range d.Targets {
+		if d.Targets[i].Serving {
 			n++
 		}
 	}
@@ -78,41 +77,42 @@
 	return n
 }
 
-// missing returns the models that are nowhere, those asked for most first.
-func (p *planner) missing() []route.Model {
+// unloadedModels returns the models without a replica, those with the highest
+// rate first.
+func (d *decider) unloadedModels() []route.Model {
 	var out []route.Model
 
-	for _, m := range p.Engine.Models {
-		if p.copies[m.Name] == 0 {
+	for _, m := range d.Engine.Models {
+		if d.replicas[m.Name] == 0 {
 			out = append(out, m)
 		}
 	}
 
-	spread := p.spreads(out)
+	keys := d.shuffleKeys(out)
 
 	slices.SortFunc(out, func(a, b route.Model) int {
-		return cmp.Or(-cmp.Compare(p.Rate[a.Name], p.Rate[b.Name]), cmp.Compare(spread[a.Name], spread[b.Name]), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(-cmp.Compare(d.Rate[a.Name], d.Rate[b.Name]), cmp.Compare(keys[a.Name], keys[b.Name]), cmp.Compare(a.Name, b.Name))
 	})
 
 	return out
 }
 
-// spreads returns the places of models that are asked for equally often.
-func (p *planner) spreads(models []route.Model) map[string]uint64 {
+// shuffleKeys returns the sort keys of models with the same rate.
+func (d *decider) shuffleKeys(models []route.Model) map[string]uint64 {
 	out := make(map[string]uint64, len(models))
 	for _, m := range models {
-		out[m.Name] = p.spread(m.Name)
+		out[m.Name] = d.shuffleKey(m.Name)
 	}
 
 	return out
 }
 
-// spread orders models that are asked for equally often, in another way in
-// each round, so that none is always last.
-func (p *planner) spread(model string) uint64 {
-	return instance.Score(model, instance.ID(p.Now.Truncate(rotate).String()))
+// shuffleKey returns the sort key of a model among models with the same rate.
+// The key changes with each shuffleInterval, so that no model is always last.
+func (d *decider) shuffleKey(model string) uint64 {
+	return instance.Score(model, instance.ID(d.Now.Truncate(shuffleInterval).String()))
 }
 
-func (p *planner) fits(t *Target, m route.Model) bool {
-	return p.freeMB(t) >= m.MB
+func (d *decider) fits(t *Target, m route.Model) bool {
+	return d.freeMB(t) >= m.MB
 }
