--- a/internal/serving/claim/batch.go
+++ b/internal/serving/claim/batch.go
@@ -13,12 +13,12 @@
 // value is ready.
 type batcher struct {
 	mu      sync.Mutex
-	waiting []*pending
+	waiting []*claimWrite
 	busy    bool
 }
 
-// pending is one claim on its way.
-type pending struct {
+// claimWrite is one claim on its way.
+type claimWrite struct {
 	ctx   context.Context //nolint:containedctx // Each claim has its caller's deadline.
 	key   string
 	value []byte
@@ -40,7 +40,7 @@
 // put writes the row if it is absent and returns its version. While one
 // transaction is on its way, further claims gather for the next.
 func (b *batcher) put(ctx context.Context, s table.Service, key string, value []byte) (uint64, error) {
-	p := &pending{ctx: ctx, key: key, value: value, done: make(chan result, 1)}
+	p := &claimWrite{ctx: ctx, key: key, value: value, done: make(chan result, 1)}
 
 	b.mu.Lock()
 	b.waiting = append(b.waiting, p)
@@ -82,7 +82,7 @@
 // commit writes the batch. If a row of it exists already, or two claims of it
 // are for the same key, each is tried on its own, so that one repeat does not
 // fail the others.
-func commit(s table.Service, batch []*pending) {
+func commit(s table.Service, batch []*claimWrite) {
 	ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
 	defer cancel()
 
@@ -106,12 +106,12 @@
 	}
 
 	for _, p := range batch {
-		version, err := table.Settle(ctx, s, transaction([]*pending{p}))
+		version, err := table.Settle(ctx, s, transaction([]*claimWrite{p}))
 		p.done <- result{version: version, err: err}
 	}
 }
 
-func distinct(batch []*pending) bool {
+func distinct(batch []*claimWrite) bool {
 	seen := make(map[string]bool, len(batch))
 	for _, p := range batch {
 		if seen[p.key] {
@@ -124,7 +124,7 @@
 	return true
 }
 
-func transaction(batch []*pending) table.Transaction {
+func transaction(batch []*claimWrite) table.Transaction {
 	var tx table.Transaction
 	for _, p := range batch {
 		tx.Conditions = append(tx.Conditions, table.Condition{Key: p.key})
--- a/internal/serving/claim/claim.go
+++ b/internal/serving/claim/claim.go
@@ -123,7 +123,7 @@
 
 	// The claim may yet take effect. Nothing was sent under it, so it is
 	// withdrawn in the background; until then a repeat finds it pending.
-	go b.withdraw(key, row.WriteID)
+	go b.withdrawUnconfirmed(key, row.WriteID)
 
 	return nil, err
 }
@@ -180,8 +180,8 @@
 	return Answered{a}, nil
 }
 
-// inlineBody is the largest answer that is kept in the table's row.
-const inlineBody = 32 << 10
+// maxInlineBody is the largest answer that is kept in the table's row.
+const maxInlineBody = 32 << 10
 
 // Finish stores the answer. It keeps trying while the store is away, for as
 // long as ctx lasts.
@@ -190,7 +190,7 @@
 	row.State = string(Done)
 	row.Status, row.ContentType, row.Body = a.Status, a.ContentType, a.Body
 
-	if len(a.Body) > inlineBody {
+	if len(a.Body) > maxInlineBody {
 		row.Object, row.Body = "answers/"+c.row.WriteID, nil
 		if err := b.Objects.Put(ctx, row.Object, a.Body); err != nil {
 			return err
@@ -233,16 +233,16 @@
 
 // Times of withdrawing a claim that is in doubt.
 const (
-	withdrawFor   = 2 * time.Minute
-	withdrawEvery = time.Second
-	withdrawQuiet = 15 * time.Second
+	withdrawTimeout  = 2 * time.Minute
+	withdrawInterval = time.Second
+	absenceToStop    = 15 * time.Second
 )
 
-// withdraw removes a claim whose write may take effect late. It ends when the
+// withdrawUnconfirmed removes a claim whose write may take effect late. It ends when the
 // claim was found and removed, or was not there for a while after the store
 // answered again.
-func (b *Book) withdraw(key, writeID string) {
-	ctx, cancel := context.WithTimeout(context.Background(), withdrawFor)
+func (b *Book) withdrawUnconfirmed(key, writeID string) {
+	ctx, cancel := context.WithTimeout(context.Background(), withdrawTimeout)
 	defer cancel()
 
 	var quietSince time.Time
@@ -258,7 +258,7 @@
 				quietSince = time.Now()
 			}
 
-			if time.Since(quietSince) > withdrawQuiet {
+			if time.Since(quietSince) > absenceToStop {
 				return
 			}
 		default:
@@ -272,7 +272,7 @@
 			}
 		}
 
-		time.Sleep(withdrawEvery)
+		time.Sleep(withdrawInterval)
 	}
 }
 
--- a/internal/serving/claim/claim_test.go
+++ b/internal/serving/claim/claim_test.go
@@ -17,7 +17,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/record"
 )
 
-func bookOf(p *platform.Platform, id string) *Book {
+func newBook(p *platform.Platform, id string) *Book {
 	return &Book{Table: p, Objects: p, Entry: instance.ID(id), Process: id}
 }
 
@@ -37,7 +37,7 @@
 
 			books := make([]*Book, 8)
 			for i := range books {
-				books[i] = bookOf(&p, fmt.Sprint(i))
+				books[i] = newBook(&p, fmt.Sprint(i))
 			}
 
 			p.SetFaults(platform.Faults{LoseAnswers: lost})
@@ -89,7 +89,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var p platform.Platform
 
-		b := bookOf(&p, "a")
+		b := newBook(&p, "a")
 		slow := &late{Platform: &p}
 		slow.after.Store(int64(10 * time.Second))
 		b.Table = slow
@@ -136,7 +136,7 @@
 func TestStates(t *testing.T) {
 	var p platform.Platform
 
-	b := bookOf(&p, "a")
+	b := newBook(&p, "a")
 	take := func(key string) Outcome {
 		o, err := b.Take(t.Context(), key, "d")
 		assert.NilError(t, err)
@@ -161,7 +161,7 @@
 
 	// A large answer goes to the object store.
 	c = take("claim/c/large").(Won).Claim
-	large := Answer{Status: 200, Body: make([]byte, inlineBody+1)}
+	large := Answer{Status: 200, Body: make([]byte, maxInlineBody+1)}
 	assert.NilError(t, b.Finish(t.Context(), c, large))
 	assert.DeepEqual(t, take("claim/c/large"), Answered{large})
 
@@ -175,7 +175,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var p platform.Platform
 
-		b := bookOf(&p, "a")
+		b := newBook(&p, "a")
 		_, err := b.Take(t.Context(), "claim/c/7", "d")
 		assert.NilError(t, err)
 
@@ -236,7 +236,7 @@
 func TestSweep(t *testing.T) {
 	var p platform.Platform
 
-	b := bookOf(&p, "a")
+	b := newBook(&p, "a")
 
 	for i := range 25 {
 		_, err := b.Take(t.Context(), fmt.Sprintf("claim/c/%02d", i), "d")
--- a/internal/serving/crash/crash.go
+++ b/internal/serving/crash/crash.go
@@ -12,14 +12,14 @@
 const (
 	// deathsToBlock is after how many dead targets a request is stopped.
 	deathsToBlock = 2
-	// memory is how long a death is held against a request that is not
+	// retention is how long a death is held against a request that is not
 	// blocked, and how long a block lasts.
-	memory = 10 * time.Minute
-	// maxSuspects bounds the book. Blocked requests are kept longest.
-	maxSuspects = 4096
+	retention = 10 * time.Minute
+	// maxRecords bounds the book. Blocked requests are kept longest.
+	maxRecords = 4096
 )
 
-// Book records which requests ran on targets that died. The zero value is
+// Registry records which requests ran on targets that died. The zero value is
 // empty. It is not safe for concurrent use.
 //
 // It guards against one request that crashes every target that runs it: its
@@ -28,11 +28,11 @@
 // ran beside it are suspects after the first death, and the router runs each
 // suspect apart from other suspects, so a bystander's second target survives
 // and Cleared takes it off the book.
-type Book struct {
-	suspects map[request.Fingerprint]*suspect
+type Registry struct {
+	records map[request.Fingerprint]*record
 }
 
-type suspect struct {
+type record struct {
 	deaths  map[Death]bool
 	blocked bool
 	until   time.Time
@@ -44,13 +44,13 @@
 	Incarnation string
 }
 
-// Died records that a target died while the request ran on it. It reports
+// RecordDeath records that a target died while the request ran on it. It reports
 // whether the request became blocked by it. A death counts once, however often
 // the request was sent to the target before its death was known.
-func (b *Book) Died(fp request.Fingerprint, d Death, now time.Time) bool {
+func (b *Registry) RecordDeath(fp request.Fingerprint, d Death, now time.Time) bool {
 	s := b.get(fp, now)
 	s.deaths[d] = true
-	s.until = now.Add(memory)
+	s.until = now.Add(retention)
 
 	if s.blocked || len(s.deaths) < deathsToBlock {
 		return false
@@ -62,22 +62,22 @@
 }
 
 // Block records that a peer blocked the request.
-func (b *Book) Block(fp request.Fingerprint, now time.Time) {
+func (b *Registry) Block(fp request.Fingerprint, now time.Time) {
 	s := b.get(fp, now)
 	s.blocked = true
-	s.until = now.Add(memory)
+	s.until = now.Add(retention)
 }
 
-// Cleared records that the request ran to its end.
-func (b *Book) Cleared(fp request.Fingerprint) {
-	if s := b.suspects[fp]; s != nil && !s.blocked {
-		delete(b.suspects, fp)
+// Clear records that the request ran to its end.
+func (b *Registry) Clear(fp request.Fingerprint) {
+	if s := b.records[fp]; s != nil && !s.blocked {
+		delete(b.records, fp)
 	}
 }
 
-// Blocked reports whether the request is to be refused, and for how long.
-func (b *Book) Blocked(fp request.Fingerprint, now time.Time) (time.Duration, bool) {
-	s := b.suspects[fp]
+// IsBlocked reports whether the request is to be refused, and for how long.
+func (b *Registry) IsBlocked(fp request.Fingerprint, now time.Time) (time.Duration, bool) {
+	s := b.records[fp]
 	if s == nil || !s.blocked || !now.Before(s.until) {
 		return 0, false
 	}
@@ -85,18 +85,18 @@
 	return s.until.Sub(now), true
 }
 
-// Suspect reports whether a target died under the request lately.
-func (b *Book) Suspect(fp request.Fingerprint, now time.Time) bool {
-	s := b.suspects[fp]
+// IsSuspect reports whether a target died under the request lately.
+func (b *Registry) IsSuspect(fp request.Fingerprint, now time.Time) bool {
+	s := b.records[fp]
 
 	return s != nil && now.Before(s.until)
 }
 
-// BlockedNow returns all blocked requests.
-func (b *Book) BlockedNow(now time.Time) []request.Fingerprint {
+// Blocked returns all blocked requests.
+func (b *Registry) Blocked(now time.Time) []request.Fingerprint {
 	var out []request.Fingerprint
 
-	for fp, s := range b.suspects {
+	for fp, s := range b.records {
 		if s.blocked && now.Before(s.until) {
 			out = append(out, fp)
 		}
@@ -105,35 +105,35 @@
 	return out
 }
 
-func (b *Book) get(fp request.Fingerprint, now time.Time) *suspect {
-	if b.suspects == nil {
-		b.suspects = make(map[request.Fingerprint]*suspect)
+func (b *Registry) get(fp request.Fingerprint, now time.Time) *record {
+	if b.records == nil {
+		b.records = make(map[request.Fingerprint]*record)
 	}
 
-	s := b.suspects[fp]
+	s := b.records[fp]
 	if s == nil || !now.Before(s.until) {
-		b.shrink(now)
+		b.evict(now)
 
-		s = &suspect{deaths: make(map[Death]bool)}
-		b.suspects[fp] = s
+		s = &record{deaths: make(map[Death]bool)}
+		b.records[fp] = s
 	}
 
 	return s
 }
 
-// shrink drops what has expired, and one more entry if the book is full.
-func (b *Book) shrink(now time.Time) {
-	if len(b.suspects) < maxSuspects {
+// evict drops what has expired, and one more entry if the book is full.
+func (b *Registry) evict(now time.Time) {
+	if len(b.records) < maxRecords {
 		return
 	}
 
 	var oldest request.Fingerprint
 
-	var found *suspect
+	var found *record
 
-	for fp, s := range b.suspects {
+	for fp, s := range b.records {
 		if !now.Before(s.until) {
-			delete(b.suspects, fp)
+			delete(b.records, fp)
 
 			continue
 		}
@@ -143,10 +143,10 @@
 		}
 	}
 
-	if len(b.suspects) >= maxSuspects {
-		delete(b.suspects, oldest)
+	if len(b.records) >= maxRecords {
+		delete(b.records, oldest)
 	}
 }
 
 // Len returns how many requests are on the book.
-func (b *Book) Len() int { return len(b.suspects) }
+func (b *Registry) Len() int { return len(b.records) }
--- a/internal/serving/crash/crash_test.go
+++ b/internal/serving/crash/crash_test.go
@@ -21,49 +21,49 @@
 // and is sent again by its caller: after the second target it is refused, and
 // after ten minutes it may be tried again.
 func TestPoison(t *testing.T) {
-	var b Book
+	var b Registry
 
-	assert.Assert(t, !b.Died(1, death("t1", "a"), now))
-	assert.Assert(t, b.Suspect(1, now))
-	assert.Assert(t, !b.Died(1, death("t1", "a"), now), "one death counts once")
-	assert.Assert(t, b.Died(1, death("t1", "b"), now), "a target that came back and died again counts")
+	assert.Assert(t, !b.RecordDeath(1, death("t1", "a"), now))
+	assert.Assert(t, b.IsSuspect(1, now))
+	assert.Assert(t, !b.RecordDeath(1, death("t1", "a"), now), "one death counts once")
+	assert.Assert(t, b.RecordDeath(1, death("t1", "b"), now), "a target that came back and died again counts")
 
-	left, blocked := b.Blocked(1, now.Add(memory-time.Second))
+	left, blocked := b.IsBlocked(1, now.Add(retention-time.Second))
 	assert.Assert(t, blocked)
 	assert.Equal(t, left, time.Second)
 
-	_, blocked = b.Blocked(1, now.Add(memory))
+	_, blocked = b.IsBlocked(1, now.Add(retention))
 	assert.Assert(t, !blocked)
 }
 
 func TestBystander(t *testing.T) {
-	var b Book
+	var b Registry
 
-	b.Died(1, death("t1", "a"), now)
-	b.Cleared(1)
-	assert.Assert(t, !b.Suspect(1, now))
-	assert.Assert(t, !b.Died(1, death("t2", "a"), now), "it ran to its end in between")
+	b.RecordDeath(1, death("t1", "a"), now)
+	b.Clear(1)
+	assert.Assert(t, !b.IsSuspect(1, now))
+	assert.Assert(t, !b.RecordDeath(1, death("t2", "a"), now), "it ran to its end in between")
 
 	// A block heard from a peer is not lifted by an answer.
 	b.Block(2, now)
-	b.Cleared(2)
+	b.Clear(2)
 
-	_, blocked := b.Blocked(2, now)
+	_, blocked := b.IsBlocked(2, now)
 	assert.Assert(t, blocked)
-	assert.DeepEqual(t, b.BlockedNow(now), []request.Fingerprint{2})
+	assert.DeepEqual(t, b.Blocked(now), []request.Fingerprint{2})
 }
 
 func TestBookIsBounded(t *testing.T) {
-	var b Book
+	var b Registry
 
 	b.Block(0, now)
 
-	for i := range 2 * maxSuspects {
-		b.Died(request.Fingerprint(i+1), death(fmt.Sprint(i), ""), now.Add(time.Duration(i)))
+	for i := range 2 * maxRecords {
+		b.RecordDeath(request.Fingerprint(i+1), death(fmt.Sprint(i), ""), now.Add(time.Duration(i)))
 	}
 
-	assert.Assert(t, len(b.suspects) <= maxSuspects)
+	assert.Assert(t, len(b.records) <= maxRecords)
 
-	_, blocked := b.Blocked(0, now)
+	_, blocked := b.IsBlocked(0, now)
 	assert.Assert(t, blocked, "what is blocked is kept longest")
 }
--- a/internal/serving/dispatch/lend.go
+++ b/internal/serving/dispatch/acquire.go
@@ -35,7 +35,7 @@
 	left := u.running.Add(-1)
 	u.served.Add(1)
 	t.End(suspect)
-	d.lineOf(req.Model).poke()
+	d.queueOf(req.Model).wake()
 
 	if left == 0 && d.cfg.Idle != nil {
 		d.cfg.Idle()
@@ -51,7 +51,9 @@
 
 // Died records that a target died while it ran the request. It reports whether
 // the request is refused from now on.
-func (d *Dispatcher) Died(fp request.Fingerprint, death crash.Death) bool { return d.died(fp, death) }
+func (d *Dispatcher) Died(fp request.Fingerprint, death crash.Death) bool {
+	return d.recordDeath(fp, death)
+}
 
 // Cleared records that a suspect ran to its end.
-func (d *Dispatcher) Cleared(fp request.Fingerprint) { d.cleared(fp) }
+func (d *Dispatcher) Cleared(fp request.Fingerprint) { d.clearSuspect(fp) }
--- a/internal/serving/dispatch/dispatch.go
+++ b/internal/serving/dispatch/dispatch.go
@@ -72,29 +72,29 @@
 
 // Dispatcher serves requests for models. Create it with New.
 type Dispatcher struct {
-	cfg    Config
-	lines  sync.Map // lines maps a model to its *line.
-	uses   sync.Map // uses maps a ledger.Key to its *use.
-	speed  sync.Map // speed maps a model to its *pace.
-	budget budget
+	cfg       Config
+	queues    sync.Map // lines maps a model to its *line.
+	uses      sync.Map // uses maps a ledger.Key to its *use.
+	latencies sync.Map // speed maps a model to its *pace.
+	budget    retryBudget
 
 	crashMu sync.Mutex
-	crashes crash.Book
-	// marked is how many requests are on the book, so that the common case of
+	crashes crash.Registry
+	// crashRecords is how many requests are on the book, so that the common case of
 	// none needs no lock.
-	marked atomic.Int64
+	crashRecords atomic.Int64
 
 	running atomic.Int64
 }
 
-// use counts the requests on one replica.
-type use struct {
+// replicaUse counts the requests on one replica.
+type replicaUse struct {
 	running atomic.Int64
 	served  atomic.Int64
 }
 
-// pace is what was learnt of a model's answers.
-type pace struct {
+// modelLatency is what was learnt of a model's answers.
+type modelLatency struct {
 	mu       sync.Mutex
 	first    stream.Gap
 	perToken stream.Gap
@@ -107,7 +107,7 @@
 	}
 
 	d := &Dispatcher{cfg: cfg}
-	d.budget.level.Store(budgetMax)
+	d.budget.level.Store(maxRetryBudget)
 
 	return d
 }
@@ -136,51 +136,51 @@
 
 	d.budget.deposit()
 
-	f := &flight{
+	f := &forwarder{
 		Dispatcher: d,
 		req:        req,
 		sink:       sink,
 		checker:    stream.Checker{RequestID: req.EngineID, Max: req.MaxTokens},
-		pace:       d.paceOf(req.Model),
+		latency:    d.latencyOf(req.Model),
 	}
 
-	return f.fly(ctx)
+	return f.run(ctx)
 }
 
 // Running returns how many requests are being served or wait.
 func (d *Dispatcher) Running() int { return int(d.running.Load()) }
 
-func (d *Dispatcher) paceOf(model string) *pace {
-	if p, ok := d.speed.Load(model); ok {
-		return p.(*pace) //nolint:forcetypeassert // The map holds nothing else.
+func (d *Dispatcher) latencyOf(model string) *modelLatency {
+	if p, ok := d.latencies.Load(model); ok {
+		return p.(*modelLatency) //nolint:forcetypeassert // The map holds nothing else.
 	}
 
-	p, _ := d.speed.LoadOrStore(model, &pace{})
+	p, _ := d.latencies.LoadOrStore(model, &modelLatency{})
 
-	return p.(*pace) //nolint:forcetypeassert // The map holds nothing else.
+	return p.(*modelLatency) //nolint:forcetypeassert // The map holds nothing else.
 }
 
-func (d *Dispatcher) useOf(t *router.Target, model string) *use {
+func (d *Dispatcher) useOf(t *router.Target, model string) *replicaUse {
 	k := ledger.Key{Target: t.ID, Model: model}
 	if u, ok := d.uses.Load(k); ok {
-		return u.(*use) //nolint:forcetypeassert // The map holds nothing else.
+		return u.(*replicaUse) //nolint:forcetypeassert // The map holds nothing else.
 	}
 
-	u, _ := d.uses.LoadOrStore(k, &use{})
+	u, _ := d.uses.LoadOrStore(k, &replicaUse{})
 
-	return u.(*use) //nolint:forcetypeassert // The map holds nothing else.
+	return u.(*replicaUse) //nolint:forcetypeassert // The map holds nothing else.
 }
 
 // duration estimates how long an answer of n tokens takes once it is sent.
-func (p *pace) duration(n int) time.Duration {
+func (p *modelLatency) duration(n int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
 	return p.first.Mean() + time.Duration(n)*p.perToken.Mean()
 }
 
-// bounds returns how long the first token and further tokens may take.
-func (p *pace) bounds() (first, next time.Duration) {
+// silenceBounds returns how long the first token and further tokens may take.
+func (p *modelLatency) silenceBounds() (first, next time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -191,7 +191,7 @@
 // suspicious. Engines may queue a request behind others.
 const minFirstBound = time.Second
 
-func (p *pace) learn(first time.Duration, perToken time.Duration) {
+func (p *modelLatency) observe(first time.Duration, perToken time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -208,13 +208,13 @@
 func (d *Dispatcher) Report(cell int) ([]replica.Demand, []demand.Use) {
 	var waiting []replica.Demand
 
-	d.lines.Range(func(key, value any) bool {
+	d.queues.Range(func(key, value any) bool {
 		model, _ := key.(string)
 		if d.cfg.CellOf(model) != cell {
 			return true
 		}
 
-		if dem, ok := value.(*line).demand(model); ok { //nolint:forcetypeassert // The map holds nothing else.
+		if dem, ok := value.(*modelQueue).demand(model); ok { //nolint:forcetypeassert // The map holds nothing else.
 			waiting = append(waiting, dem)
 		}
 
@@ -225,7 +225,7 @@
 
 	d.uses.Range(func(key, value any) bool {
 		k, _ := key.(ledger.Key)
-		u, _ := value.(*use)
+		u, _ := value.(*replicaUse)
 
 		if d.cfg.CellOf(k.Model) != cell {
 			return true
@@ -246,8 +246,8 @@
 func (d *Dispatcher) Waiting() map[string]int {
 	n := make(map[string]int)
 
-	d.lines.Range(func(_, value any) bool {
-		value.(*line).countPlans(n) //nolint:forcetypeassert // The map holds nothing else.
+	d.queues.Range(func(_, value any) bool {
+		value.(*modelQueue).countPlans(n) //nolint:forcetypeassert // The map holds nothing else.
 
 		return true
 	})
@@ -261,52 +261,52 @@
 	defer d.crashMu.Unlock()
 
 	d.crashes.Block(fp, time.Now())
-	d.marked.Store(int64(d.crashes.Len()))
+	d.crashRecords.Store(int64(d.crashes.Len()))
 }
 
 // Blocked returns the requests that are blocked.
 func (d *Dispatcher) Blocked() []request.Fingerprint {
-	if d.marked.Load() == 0 {
+	if d.crashRecords.Load() == 0 {
 		return nil
 	}
 
 	d.crashMu.Lock()
 	defer d.crashMu.Unlock()
 
-	return d.crashes.BlockedNow(time.Now())
+	return d.crashes.Blocked(time.Now())
 }
 
 func (d *Dispatcher) isBlocked(fp request.Fingerprint) (time.Duration, bool) {
-	if d.marked.Load() == 0 {
+	if d.crashRecords.Load() == 0 {
 		return 0, false
 	}
 
 	d.crashMu.Lock()
 	defer d.crashMu.Unlock()
 
-	return d.crashes.Blocked(fp, time.Now())
+	return d.crashes.IsBlocked(fp, time.Now())
 }
 
 // isSuspect reports whether a target died under the request lately.
 func (d *Dispatcher) isSuspect(fp request.Fingerprint) bool {
-	if d.marked.Load() == 0 {
+	if d.crashRecords.Load() == 0 {
 		return false
 	}
 
 	d.crashMu.Lock()
 	defer d.crashMu.Unlock()
 
-	return d.crashes.Suspect(fp, time.Now())
+	return d.crashes.IsSuspect(fp, time.Now())
 }
 
-// died records that a target died under the request. It reports whether the
+// recordDeath records that a target recordDeath under the request. It reports whether the
 // request is blocked by now.
-func (d *Dispatcher) died(fp request.Fingerprint, death crash.Death) bool {
+func (d *Dispatcher) recordDeath(fp request.Fingerprint, death crash.Death) bool {
 	d.crashMu.Lock()
 	now := time.Now()
-	news := d.crashes.Died(fp, death, now)
-	_, blocked := d.crashes.Blocked(fp, now)
-	d.marked.Store(int64(d.crashes.Len()))
+	news := d.crashes.RecordDeath(fp, death, now)
+	_, blocked := d.crashes.IsBlocked(fp, now)
+	d.crashRecords.Store(int64(d.crashes.Len()))
 	d.crashMu.Unlock()
 
 	if news {
@@ -316,46 +316,46 @@
 	return blocked
 }
 
-func (d *Dispatcher) cleared(fp request.Fingerprint) {
+func (d *Dispatcher) clearSuspect(fp request.Fingerprint) {
 	d.crashMu.Lock()
 	defer d.crashMu.Unlock()
 
-	d.crashes.Cleared(fp)
-	d.marked.Store(int64(d.crashes.Len()))
+	d.crashes.Clear(fp)
+	d.crashRecords.Store(int64(d.crashes.Len()))
 }
 
 // RefuseWaiting refuses all waiting requests for which why returns a refusal.
 func (d *Dispatcher) RefuseWaiting(why func(*request.Request) *request.Refusal) {
-	d.lines.Range(func(_, value any) bool {
-		value.(*line).refuseWaiting(why) //nolint:forcetypeassert // The map holds nothing else.
+	d.queues.Range(func(_, value any) bool {
+		value.(*modelQueue).refuseWaiting(why) //nolint:forcetypeassert // The map holds nothing else.
 
 		return true
 	})
 }
 
-// budget bounds retries to a share of the requests, so that retries cannot
+// retryBudget bounds retries to a share of the requests, so that retries cannot
 // multiply the load when targets fail in numbers.
-type budget struct{ level atomic.Int64 }
+type retryBudget struct{ level atomic.Int64 }
 
 // The budget is counted in tenths of a retry.
 const (
-	budgetMax     = 1000
-	budgetDeposit = 1
-	budgetRetry   = 10
+	maxRetryBudget = 1000
+	requestCredit  = 1
+	retryCost      = 10
 )
 
-func (b *budget) deposit() {
-	if n := b.level.Load(); n < budgetMax {
-		b.level.Add(budgetDeposit)
+func (b *retryBudget) deposit() {
+	if n := b.level.Load(); n < maxRetryBudget {
+		b.level.Add(requestCredit)
 	}
 }
 
-func (b *budget) take() bool {
-	if b.level.Add(-budgetRetry) >= 0 {
+func (b *retryBudget) consume() bool {
+	if b.level.Add(-retryCost) >= 0 {
 		return true
 	}
 
-	b.level.Add(budgetRetry)
+	b.level.Add(retryCost)
 
 	return false
 }
--- a/internal/serving/dispatch/dispatch_test.go
+++ b/internal/serving/dispatch/dispatch_test.go
@@ -22,8 +22,8 @@
 	"github.com/fulmarcross/fulmarcross/internal/standin/engine"
 )
 
-// bench is a dispatcher before a few engines in memory, in a synctest bubble.
-type bench struct {
+// fixture is a dispatcher before a few engines in memory, in a synctest bubble.
+type fixture struct {
 	*Dispatcher
 
 	table   router.Table
@@ -39,11 +39,11 @@
 
 const model = "m"
 
-// newBench makes engines on which the model is ready.
-func newBench(t *testing.T, engines int) *bench {
+// newFixture makes engines on which the model is ready.
+func newFixture(t *testing.T, engines int) *fixture {
 	t.Helper()
 
-	b := &bench{}
+	b := &fixture{}
 
 	// Goroutines that end by themselves get the time for it.
 	t.Cleanup(func() { time.Sleep(time.Minute) })
@@ -91,7 +91,7 @@
 	return b
 }
 
-func (b *bench) engineOf(id instance.ID) *engine.Engine {
+func (b *fixture) engineOf(id instance.ID) *engine.Engine {
 	for _, e := range b.engines {
 		if e.ID() == id {
 			return e
@@ -101,7 +101,7 @@
 	return nil
 }
 
-func (b *bench) load(t *testing.T, e *engine.Engine) {
+func (b *fixture) load(t *testing.T, e *engine.Engine) {
 	t.Helper()
 
 	inv, _ := e.Inventory(t.Context())
@@ -111,7 +111,7 @@
 }
 
 // publish tells the router how the engines are.
-func (b *bench) publish(waits ...router.Wait) {
+func (b *fixture) publish(waits ...router.Wait) {
 	b.number++
 	s := &router.Snapshot{Token: 1, Number: b.number, Waits: waits}
 
@@ -156,7 +156,7 @@
 }
 
 // do runs a request and returns its text and refusal.
-func (b *bench) do(ctx context.Context, req *request.Request) (string, *request.Refusal, error) {
+func (b *fixture) do(ctx context.Context, req *request.Request) (string, *request.Refusal, error) {
 	var out text
 
 	_, err := b.Do(ctx, req, &out)
@@ -169,8 +169,8 @@
 // the whole answer to its own request, each token once.
 var faults = map[string]struct {
 	engines int
-	before  func(b *bench)
-	during  func(b *bench)
+	before  func(b *fixture)
+	during  func(b *fixture)
 	within  time.Duration
 }{
 	"none": {engines: 2, within: time.Second},
@@ -178,14 +178,14 @@
 	// ends has lost track of it. The caller would see an answer that stops.
 	// On a new connection the target answers, so the stream goes on there.
 	"stream goes silent": {
-		engines: 1, during: func(b *bench) { b.engines[0].Silence() }, within: 2 * time.Second,
+		engines: 1, during: func(b *fixture) { b.engines[0].Silence() }, within: 2 * time.Second,
 	},
 	// The stream ends cleanly in the middle, which looks like a short answer.
 	"stream is cut short": {
-		engines: 1, before: func(b *bench) { b.engines[0].SetFaults(engine.Faults{Truncate: true}) }, within: time.Second,
+		engines: 1, before: func(b *fixture) { b.engines[0].SetFaults(engine.Faults{Truncate: true}) }, within: time.Second,
 	},
 	// The target's process dies and another target has the model.
-	"target dies": {engines: 2, during: func(b *bench) {
+	"target dies": {engines: 2, during: func(b *fixture) {
 		for _, e := range b.engines {
 			if _, running := e.Use(); running > 0 {
 				e.Crash()
@@ -195,7 +195,7 @@
 		}
 	}, within: time.Second},
 	// The only target dies and comes back, and its model is loaded again.
-	"only target dies and comes back": {engines: 1, during: func(b *bench) {
+	"only target dies and comes back": {engines: 1, during: func(b *fixture) {
 		b.engines[0].Crash()
 		time.AfterFunc(1200*time.Millisecond, func() {
 			inv, _ := b.engines[0].Inventory(context.Background())
@@ -207,12 +207,12 @@
 		})
 	}, within: 3 * time.Second},
 	// The router's view is old: the model was unloaded a moment ago.
-	"model was unloaded": {engines: 2, before: func(b *bench) {
+	"model was unloaded": {engines: 2, before: func(b *fixture) {
 		_, _ = b.engines[0].Submit(context.Background(), target.Order{ID: "u", Action: target.Unload{Model: model}})
 	}, within: time.Second},
 	// The list says in the middle of an answer that its target is leaving, and
 	// soon after it is gone. The answer goes on elsewhere with its state.
-	"target leaves mid-answer": {engines: 2, during: func(b *bench) {
+	"target leaves mid-answer": {engines: 2, during: func(b *fixture) {
 		for _, e := range b.engines {
 			if _, running := e.Use(); running > 0 {
 				b.table.Target(e.ID()).Leave()
@@ -221,14 +221,14 @@
 		}
 	}, within: time.Second},
 	// The target says that it takes no new work.
-	"target is leaving": {engines: 2, before: func(b *bench) { b.engines[0].Leave() }, within: time.Second},
+	"target is leaving": {engines: 2, before: func(b *fixture) { b.engines[0].Leave() }, within: time.Second},
 }
 
 func TestFaults(t *testing.T) {
 	for name, f := range faults {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t, f.engines)
+				b := newFixture(t, f.engines)
 
 				// Teach the bounds of silence on calm streams first.
 				for range 3 {
@@ -258,7 +258,7 @@
 // wrong requests: each caller must get its own answer, whole.
 func TestSwappedAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 1)
+		b := newFixture(t, 1)
 
 		var wg sync.WaitGroup
 
@@ -284,7 +284,7 @@
 // others are answered.
 func TestPoisonAndBystanders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 4)
+		b := newFixture(t, 4)
 
 		var wg sync.WaitGroup
 
@@ -334,7 +334,7 @@
 // once.
 func TestCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 1)
+		b := newFixture(t, 1)
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(100*time.Millisecond, cancel)
 
@@ -361,7 +361,7 @@
 
 func TestSlowReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 1)
+		b := newFixture(t, 1)
 
 		_, err := b.Do(t.Context(), newRequest("p", time.Minute), &slowSink{after: 3})
 		assert.ErrorContains(t, err, "write timed out")
@@ -376,7 +376,7 @@
 // longer allow them.
 func TestPlanRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 0)
+		b := newFixture(t, 0)
 
 		time.AfterFunc(time.Second, func() {
 			b.RefuseWaiting(func(req *request.Request) *request.Refusal {
--- a/internal/serving/dispatch/blame.go
+++ b/internal/serving/dispatch/failure.go
@@ -14,11 +14,11 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/router"
 )
 
-// maxSends bounds how often one request is sent, whatever the budget says.
-const maxSends = 8
+// maxAttempts bounds how often one request is sent, whatever the budget says.
+const maxAttempts = 8
 
-// reserveAgain is how soon a suspect asks again for a target of its own.
-const reserveAgain = 50 * time.Millisecond
+// reserveRetryInterval is how soon a suspect asks again for a target of its own.
+const reserveRetryInterval = 50 * time.Millisecond
 
 // reserve makes sure that no other suspect, of whichever entry, runs on the
 // target.
@@ -26,7 +26,7 @@
 // It guards against blaming a bystander: if two suspects share a target that
 // dies, both have had two targets die under them, and nobody can tell which
 // of them did it. Apart from each other, the innocent one's target survives.
-func (f *flight) reserve(ctx context.Context, t *router.Target) bool {
+func (f *forwarder) reserve(ctx context.Context, t *router.Target) bool {
 	if !f.suspect || f.cfg.Reserve == nil {
 		return true
 	}
@@ -37,16 +37,16 @@
 	return ok
 }
 
-func (f *flight) unreserve() {
+func (f *forwarder) unreserve() {
 	if f.release != nil {
 		f.release()
 		f.release = nil
 	}
 }
 
-// judge decides after a failed sending whether to go on. A nil error means to
+// handleFailure decides after a failed sending whether to go on. A nil error means to
 // try again.
-func (f *flight) judge(ctx context.Context, t *router.Target, err error) error {
+func (f *forwarder) handleFailure(ctx context.Context, t *router.Target, err error) error {
 	var sink *sinkError
 	if errors.As(err, &sink) || ctx.Err() != nil {
 		f.cancel(t)
@@ -58,49 +58,49 @@
 		return err
 	}
 
-	f.last, f.stay = t, false
+	f.last, f.retrySame = t, false
 	f.exclude = append(f.exclude[:0], t.ID)
 
-	if refusal := f.blame(ctx, t, err); refusal != nil {
+	if refusal := f.diagnose(ctx, t, err); refusal != nil {
 		return refusal
 	}
 
-	if f.trail.Sends() >= maxSends || !f.free(err) && !f.budget.take() {
-		return f.trail.Refuse(request.TargetFailed, overloadRetry, "targets failed: "+err.Error())
+	if f.attempts.Sends() >= maxAttempts || !f.retryIsFree(err) && !f.budget.consume() {
+		return f.attempts.Refuse(request.TargetFailed, defaultRetryAfter, "targets failed: "+err.Error())
 	}
 
 	return f.backOff(ctx)
 }
 
-// free reports whether a retry costs no budget, because the target did no
+// retryIsFree reports whether a retry costs no budget, because the target did no
 // work.
-func (f *flight) free(err error) bool {
-	fate := fateOf(err)
+func (f *forwarder) retryIsFree(err error) bool {
+	fate := outcomeOf(err)
 
-	return fate == request.ProvedNotRun || fate == request.NotReached || errors.Is(err, errMoving)
+	return fate == request.ProvedNotRun || fate == request.NotReached || errors.Is(err, errMigrate)
 }
 
 // backOff waits a little before the same targets are asked again.
-func (f *flight) backOff(ctx context.Context) error {
-	if f.stay || f.trail.Sends() < 2 { //nolint:mnd // The first retry goes at once.
+func (f *forwarder) backOff(ctx context.Context) error {
+	if f.retrySame || f.attempts.Sends() < 2 { //nolint:mnd // The first retry goes at once.
 		return nil
 	}
 
 	const base = 20 * time.Millisecond
 
-	return clock.Sleep(ctx, base<<min(f.trail.Sends(), 4)) //nolint:mnd // At most sixteenfold.
+	return clock.Sleep(ctx, base<<min(f.attempts.Sends(), 4)) //nolint:mnd // At most sixteenfold.
 }
 
-// blame finds out what went wrong on the target. It returns a refusal when
+// diagnose finds out what went wrong on the target. It returns a refusal when
 // the request must not be tried again.
-func (f *flight) blame(ctx context.Context, t *router.Target, err error) *request.Refusal {
+func (f *forwarder) diagnose(ctx context.Context, t *router.Target, err error) *request.Refusal {
 	var (
 		leaving   *target.LeavingError
 		notLoaded *target.NotLoadedError
 	)
 
 	switch {
-	case errors.Is(err, errMoving):
+	case errors.Is(err, errMigrate):
 		return nil
 	case errors.As(err, &leaving):
 		if t.Leave() {
@@ -116,7 +116,7 @@
 
 	alive := f.probe(ctx, t)
 
-	var silent *silentError
+	var silent *stallError
 
 	switch {
 	case !alive:
@@ -126,9 +126,9 @@
 		// still holds the stream's state: go on there, on a new connection.
 		f.cfg.Refresh(t)
 		f.cancel(t)
-		f.stay = true
+		f.retrySame = true
 	case isCut(err):
-		f.stay = f.checker.Next() > 0
+		f.retrySame = f.checker.Next() > 0
 	}
 
 	return nil
@@ -143,7 +143,7 @@
 // probe asks the target on a new connection whether it is the same process as
 // when the request was sent. What was known then counts: by now routing may
 // know the target's next process.
-func (f *flight) probe(ctx context.Context, t *router.Target) bool {
+func (f *forwarder) probe(ctx context.Context, t *router.Target) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 
@@ -152,7 +152,7 @@
 	return err == nil && (f.incarnation == "" || inv.Incarnation == f.incarnation)
 }
 
-func (f *flight) targetDied(t *router.Target) *request.Refusal {
+func (f *forwarder) targetDied(t *router.Target) *request.Refusal {
 	f.event(timeline.TargetDied, t, "")
 
 	death := crash.Death{Target: t.ID, Incarnation: f.incarnation}
@@ -168,7 +168,7 @@
 		f.cfg.Noticed(Notice{Dead: death})
 	}
 
-	blocked := f.died(f.req.Fingerprint(), death)
+	blocked := f.recordDeath(f.req.Fingerprint(), death)
 	f.suspect = true
 
 	if !blocked {
@@ -177,11 +177,11 @@
 
 	f.event(timeline.PoisonFound, t, "")
 
-	return f.trail.Refuse(request.Poisoned, 0, "targets crashed while they ran this request")
+	return f.attempts.Refuse(request.Poisoned, 0, "targets crashed while they ran this request")
 }
 
 // cancel tells the engine that nobody waits for the answer any more.
-func (f *flight) cancel(t *router.Target) {
+func (f *forwarder) cancel(t *router.Target) {
 	const timeout = time.Second
 
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
--- a/internal/serving/dispatch/flight.go
+++ b/internal/serving/dispatch/forwarder.go
@@ -14,25 +14,25 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/stream"
 )
 
-// flight is one request on its way, over all its sendings.
-type flight struct {
+// forwarder is one request on its way, over all its sendings.
+type forwarder struct {
 	*Dispatcher
 
-	req     *request.Request
-	sink    Sink
-	checker stream.Checker
-	trail   request.Trail
-	pace    *pace
+	req      *request.Request
+	sink     Sink
+	checker  stream.Checker
+	attempts request.Trail
+	latency  *modelLatency
 
 	cold       bool
 	firstToken time.Duration
-	// sentToFirst is the time to first token of the last sending.
-	sentToFirst time.Duration
+	// attemptFirstToken is the time to first token of the last sending.
+	attemptFirstToken time.Duration
 	// suspect says that a target died under the request.
 	suspect bool
 	// last is the target of the last sending, and stay asks for it again.
-	last *router.Target
-	stay bool
+	last      *router.Target
+	retrySame bool
 	// incarnation is that of the last target when the request was sent.
 	incarnation string
 	// sentToDead says that the last target was known to be dead by then.
@@ -53,14 +53,14 @@
 
 func (e *sinkError) Unwrap() error { return e.err }
 
-// fly sends the request until its answer is whole.
-func (f *flight) fly(ctx context.Context) (Result, error) {
+// run sends the request until its answer is whole.
+func (f *forwarder) run(ctx context.Context) (Result, error) {
 	f.suspect = f.isSuspect(f.req.Fingerprint())
 
 	for {
-		t, err := f.next(ctx)
+		t, err := f.nextTarget(ctx)
 		if err != nil {
-			return Result{}, f.end(err)
+			return Result{}, f.fail(err)
 		}
 
 		suspect := f.suspect
@@ -69,7 +69,7 @@
 		failed := err != nil
 
 		if failed {
-			err = f.judge(ctx, t, err)
+			err = f.handleFailure(ctx, t, err)
 		}
 
 		// A suspect leaves its target only after a death was made known, so
@@ -80,17 +80,17 @@
 
 		switch {
 		case !failed:
-			return f.landed(), nil
+			return f.succeed(), nil
 		case err != nil:
-			return Result{}, f.end(err)
+			return Result{}, f.fail(err)
 		}
 	}
 }
 
-// next returns the target of the next sending, on which the request is
+// nextTarget returns the target of the nextTarget sending, on which the request is
 // counted.
-func (f *flight) next(ctx context.Context) (*router.Target, error) {
-	if f.stay && !f.last.Leaving() && f.last.Begin(f.suspect) {
+func (f *forwarder) nextTarget(ctx context.Context) (*router.Target, error) {
+	if f.retrySame && !f.last.Leaving() && f.last.Begin(f.suspect) {
 		return f.last, nil
 	}
 
@@ -106,7 +106,7 @@
 
 		t.End(f.suspect)
 
-		if err := clock.Sleep(ctx, reserveAgain); err != nil {
+		if err := clock.Sleep(ctx, reserveRetryInterval); err != nil {
 			return nil, err
 		}
 	}
@@ -120,35 +120,35 @@
 }
 
 // attempt sends the request once and passes its tokens on.
-func (f *flight) attempt(ctx context.Context, t *router.Target) error {
+func (f *forwarder) attempt(ctx context.Context, t *router.Target) error {
 	u := f.useOf(t, f.req.Model)
 	u.running.Add(1)
 
 	defer func() {
 		u.running.Add(-1)
 		u.served.Add(1)
-		f.lineOf(f.req.Model).poke()
+		f.queueOf(f.req.Model).wake()
 	}()
 
-	first, next := f.pace.bounds()
-	w := newWatch(ctx, first)
+	first, next := f.latency.silenceBounds()
+	w := newStallTimer(ctx, first)
 
 	defer w.stop()
 
 	kind := timeline.Sent
-	if f.trail.Sends() > 0 {
+	if f.attempts.Sends() > 0 {
 		kind = timeline.Resumed
 
 		f.cfg.Metrics.Counter("resumed").Inc(1)
 	}
 
 	f.event(kind, t, "")
-	f.giveState(t)
+	f.importState(t)
 
 	f.last = t
 	f.incarnation, f.sentToDead = t.Info().Incarnation, t.Dead()
 
-	n := f.trail.Send()
+	n := f.attempts.Send()
 	sent := time.Now()
 	load := t.Own()
 
@@ -161,32 +161,32 @@
 		Priority:  f.req.Priority,
 	})
 	if err != nil {
-		f.trail.Learn(n, fateOf(err))
+		f.attempts.Learn(n, outcomeOf(err))
 
-		return w.explain(err)
+		return w.wrap(err)
 	}
 	defer s.Close()
 
-	tokens, err := f.pass(s, w, n, next, sent)
-	if errors.Is(err, errMoving) {
-		f.takeState(t)
+	tokens, err := f.relayTokens(s, w, n, next, sent)
+	if errors.Is(err, errMigrate) {
+		f.exportState(t)
 	}
 
 	if err != nil {
-		return w.explain(err)
+		return w.wrap(err)
 	}
 
-	f.trail.Learn(n, request.Completed)
+	f.attempts.Learn(n, request.Completed)
 
 	if tokens > 0 {
-		t.Succeeded(f.sentToFirst, load)
+		t.Succeeded(f.attemptFirstToken, load)
 	}
 
 	return nil
 }
 
-// fateOf returns what an error proves about a sending that got no answer.
-func fateOf(err error) request.Fate {
+// outcomeOf returns what an error proves about a sending that got no answer.
+func outcomeOf(err error) request.Fate {
 	var (
 		notReached *target.NotReachedError
 		notLoaded  *target.NotLoadedError
@@ -203,8 +203,8 @@
 	return request.InDoubtFate
 }
 
-// pass hands the stream's tokens to the sink until the end mark.
-func (f *flight) pass(s target.Stream, w *watch, n int, bound time.Duration, sent time.Time) (int, error) {
+// relayTokens hands the stream's tokens to the sink until the end mark.
+func (f *forwarder) relayTokens(s target.Stream, w *stallTimer, n int, bound time.Duration, sent time.Time) (int, error) {
 	tokens := 0
 	last := sent
 
@@ -220,7 +220,7 @@
 		}
 
 		if tokens == 0 {
-			f.trail.Learn(n, request.Begun)
+			f.attempts.Learn(n, request.Begun)
 		}
 
 		if f.checker.Done() {
@@ -236,26 +236,26 @@
 
 		tokens++
 
-		if f.shouldMove() {
-			return tokens, errMoving
+		if f.shouldMigrate() {
+			return tokens, errMigrate
 		}
 
 		now := time.Now()
-		f.learn(tokens, now.Sub(last), now)
+		f.observe(tokens, now.Sub(last), now)
 
 		last = now
 
-		w.expect(bound)
+		w.reset(bound)
 	}
 }
 
-// learnEvery thins out what is learnt from tokens after the first.
-const learnEvery = 8
+// observeEvery thins out what is learnt from tokens after the first.
+const observeEvery = 8
 
-func (f *flight) learn(tokens int, gap time.Duration, now time.Time) {
+func (f *forwarder) observe(tokens int, gap time.Duration, now time.Time) {
 	if tokens == 1 {
-		f.pace.learn(gap, 0)
-		f.sentToFirst = gap
+		f.latency.observe(gap, 0)
+		f.attemptFirstToken = gap
 
 		if f.firstToken == 0 {
 			f.firstToken = now.Sub(f.req.Arrived)
@@ -264,14 +264,14 @@
 		return
 	}
 
-	if tokens%learnEvery == 0 {
-		f.pace.learn(0, gap)
+	if tokens%observeEvery == 0 {
+		f.latency.observe(0, gap)
 	}
 }
 
-func (f *flight) landed() Result {
+func (f *forwarder) succeed() Result {
 	if f.suspect {
-		f.cleared(f.req.Fingerprint())
+		f.clearSuspect(f.req.Fingerprint())
 	}
 
 	f.cfg.Log.Add(timeline.Event{Kind: timeline.Answered, Request: f.req.ID, Model: f.req.Model, Customer: f.req.Customer})
@@ -279,15 +279,15 @@
 	return Result{Tokens: f.checker.Next(), FirstToken: f.firstToken, Cold: f.cold}
 }
 
-// end turns the last error into the request's final answer.
-func (f *flight) end(err error) error {
+// fail turns the last error into the request's final answer.
+func (f *forwarder) fail(err error) error {
 	refusal, ok := asRefusal(err)
 
 	switch {
 	case ok:
-		refusal.Run = f.trail.Verdict()
+		refusal.Run = f.attempts.Verdict()
 	case errors.Is(err, context.DeadlineExceeded):
-		refusal = f.trail.Refuse(request.DeadlinePast, overloadRetry, "the deadline has passed")
+		refusal = f.attempts.Refuse(request.DeadlinePast, defaultRetryAfter, "the deadline has passed")
 	default:
 		f.cfg.Log.Add(timeline.Event{Kind: timeline.CallerLeft, Request: f.req.ID, Model: f.req.Model, Customer: f.req.Customer})
 
@@ -302,7 +302,7 @@
 	return refusal
 }
 
-func (f *flight) event(k timeline.Kind, t *router.Target, detail string) {
+func (f *forwarder) event(k timeline.Kind, t *router.Target, detail string) {
 	f.cfg.Log.Add(timeline.Event{
 		Kind: k, Request: f.req.ID, Model: f.req.Model, Target: t.ID, Customer: f.req.Customer, Detail: detail,
 	})
--- a/internal/serving/dispatch/move.go
+++ b/internal/serving/dispatch/migrate.go
@@ -8,18 +8,18 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/router"
 )
 
-// errMoving ends a stream on a target that is leaving, so that it goes on
+// errMigrate ends a stream on a target that is leaving, so that it goes on
 // elsewhere with its state.
-var errMoving = errors.New("target is leaving")
+var errMigrate = errors.New("target is leaving")
 
-// worthMoving is how many tokens must be left for a move to pay: the state's
+// minTokensToMigrate is how many tokens must be left for a move to pay: the state's
 // way to another target takes about as long as a few tokens.
-const worthMoving = 8
+const minTokensToMigrate = 8
 
-// shouldMove reports whether the answer should go on elsewhere: its target is
+// shouldMigrate reports whether the answer should go on elsewhere: its target is
 // leaving, much of it is still to come, and another target has the model.
-func (f *flight) shouldMove() bool {
-	if !f.last.Leaving() || f.req.MaxTokens-f.checker.Next() < worthMoving {
+func (f *forwarder) shouldMigrate() bool {
+	if !f.last.Leaving() || f.req.MaxTokens-f.checker.Next() < minTokensToMigrate {
 		return false
 	}
 
@@ -32,17 +32,17 @@
 	return false
 }
 
-// takeState fetches the answer's state from the target that is leaving. It is
+// exportState fetches the answer's state from the target that is leaving. It is
 // no loss if that fails: the next target reads the prompt again.
-func (f *flight) takeState(t *router.Target) {
+func (f *forwarder) exportState(t *router.Target) {
 	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
 
 	f.state, _ = f.cfg.Engine(t).ExportKV(ctx, f.req.EngineID)
 }
 
-// giveState hands the state to the next target.
-func (f *flight) giveState(t *router.Target) {
+// importState hands the state to the next target.
+func (f *forwarder) importState(t *router.Target) {
 	if f.state == nil {
 		return
 	}
--- a/internal/serving/dispatch/line.go
+++ b/internal/serving/dispatch/modelqueue.go
@@ -13,18 +13,18 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/router"
 )
 
-// line is the queue of one model on this entry.
-type line struct {
+// modelQueue is the queue of one model on this entry.
+type modelQueue struct {
 	d     *Dispatcher
 	model string
 
 	mu sync.Mutex
 	q  queue.Queue[*waiter]
-	// pumping says that a goroutine looks after the line.
-	pumping bool
-	kick    chan struct{}
-	// rate is how fast requests of the line start.
-	rate rate
+	// serving says that a goroutine looks after the line.
+	serving bool
+	wakeUp  chan struct{}
+	// startRate is how fast requests of the line start.
+	startRate startRate
 	// arrived counts the requests that came since the last report.
 	arrived atomic.Int64
 }
@@ -43,14 +43,14 @@
 	refusal *request.Refusal
 }
 
-// rate measures how often a waiting request of the line starts.
-type rate struct {
+// startRate measures how often a waiting request of the line starts.
+type startRate struct {
 	// gap is the smoothed time between two starts; zero means unknown.
 	gap  time.Duration
 	last time.Time
 }
 
-func (r *rate) note(now time.Time) {
+func (r *startRate) record(now time.Time) {
 	const gain = 0.1
 
 	if !r.last.IsZero() {
@@ -65,16 +65,16 @@
 	r.last = now
 }
 
-func (d *Dispatcher) lineOf(model string) *line {
-	if l, ok := d.lines.Load(model); ok {
-		return l.(*line) //nolint:forcetypeassert // The map holds nothing else.
+func (d *Dispatcher) queueOf(model string) *modelQueue {
+	if m, ok := d.queues.Load(model); ok {
+		return m.(*modelQueue) //nolint:forcetypeassert // The map holds nothing else.
 	}
 
-	l := &line{d: d, model: model, kick: make(chan struct{}, 1)}
-	l.q.Limit = d.cfg.MaxWaiting
-	got, _ := d.lines.LoadOrStore(model, l)
+	m := &modelQueue{d: d, model: model, wakeUp: make(chan struct{}, 1)}
+	m.q.Limit = d.cfg.MaxWaiting
+	got, _ := d.queues.LoadOrStore(model, m)
 
-	return got.(*line) //nolint:forcetypeassert // The map holds nothing else.
+	return got.(*modelQueue) //nolint:forcetypeassert // The map holds nothing else.
 }
 
 // answerMargin is how long before its deadline a request must have its answer,
@@ -84,12 +84,12 @@
 // acquire returns a target on which the request was counted, after waiting
 // for one if need be.
 func (d *Dispatcher) acquire(ctx context.Context, req *request.Request, q router.Query) (*router.Target, bool, error) {
-	l := d.lineOf(req.Model)
+	m := d.queueOf(req.Model)
 	if len(q.Exclude) == 0 {
-		l.arrived.Add(1)
+		m.arrived.Add(1)
 	}
 
-	if t := l.tryNow(&q); t != nil {
+	if t := m.tryImmediately(&q); t != nil {
 		return t, false, nil
 	}
 
@@ -101,11 +101,11 @@
 	item := &queue.Item[*waiter]{
 		Customer: req.Customer,
 		Weight:   1 + req.Priority,
-		Deadline: req.Deadline.Add(-d.paceOf(req.Model).duration(req.MaxTokens) - answerMargin),
+		Deadline: req.Deadline.Add(-d.latencyOf(req.Model).duration(req.MaxTokens) - answerMargin),
 		Value:    w,
 	}
 
-	if err := l.push(item); err != nil {
+	if err := m.push(item); err != nil {
 		return nil, cold, err
 	}
 
@@ -113,21 +113,21 @@
 
 	select {
 	case g := <-w.granted:
-		return g.take(cold)
+		return g.result(cold)
 	case <-ctx.Done():
 	}
 
-	if l.leave(item) {
+	if m.remove(item) {
 		return nil, cold, ctx.Err()
 	}
 
 	// The grant came while the caller left.
 	g := <-w.granted
 
-	return g.take(cold)
+	return g.result(cold)
 }
 
-func (g grant) take(cold bool) (*router.Target, bool, error) {
+func (g grant) result(cold bool) (*router.Target, bool, error) {
 	if g.refusal != nil {
 		return nil, cold, g.refusal
 	}
@@ -135,25 +135,25 @@
 	return g.target, cold, nil
 }
 
-// tryNow chooses a target without waiting. Nobody overtakes those who wait.
-func (l *line) tryNow(q *router.Query) *router.Target {
-	l.mu.Lock()
-	waiting := l.q.Len()
-	l.mu.Unlock()
+// tryImmediately chooses a target without waiting. Nobody overtakes those who wait.
+func (m *modelQueue) tryImmediately(q *router.Query) *router.Target {
+	m.mu.Lock()
+	waiting := m.q.Len()
+	m.mu.Unlock()
 
 	if waiting > 0 {
 		return nil
 	}
 
-	return l.choose(q, 0)
+	return m.choose(q, 0)
 }
 
 // choose finds a target while so many requests wait.
-func (l *line) choose(q *router.Query, waiting int) *router.Target {
+func (m *modelQueue) choose(q *router.Query, waiting int) *router.Target {
 	q.Now, q.Waiting = time.Now(), waiting
-	q.Entries = l.d.cfg.Entries()
+	q.Entries = m.d.cfg.Entries()
 
-	t := router.Choose(l.d.cfg.Table.Targets(l.model), q)
+	t := router.Choose(m.d.cfg.Table.Targets(m.model), q)
 	if t == nil || !t.Begin(q.Suspect) {
 		return nil
 	}
@@ -161,97 +161,97 @@
 	return t
 }
 
-// overloadRetry is what a caller is told when the queue is full and nothing
+// defaultRetryAfter is what a caller is told when the queue is full and nothing
 // better is known.
-const overloadRetry = time.Second
+const defaultRetryAfter = time.Second
 
-func (l *line) push(it *queue.Item[*waiter]) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (m *modelQueue) push(it *queue.Item[*waiter]) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 
-	if l.tooLate(it) {
-		return request.Refuse(request.DeadlineAhead, l.drainTime(), "too many requests wait to meet its deadline")
+	if m.tooLate(it) {
+		return request.Refuse(request.DeadlineAhead, m.drainTime(), "too many requests wait to meet its deadline")
 	}
 
-	displaced, err := l.q.Push(it)
+	displaced, err := m.q.Push(it)
 	if err != nil {
-		return request.Refuse(request.Overloaded, l.drainTime(), "too many requests wait for this model")
+		return request.Refuse(request.Overloaded, m.drainTime(), "too many requests wait for this model")
 	}
 
 	if displaced != nil {
-		displaced.Value.refuse(request.Refuse(request.Overloaded, l.drainTime(),
+		displaced.Value.refuse(request.Refuse(request.Overloaded, m.drainTime(),
 			"displaced by a customer with fewer waiting requests"))
 	}
 
-	if !l.pumping {
-		l.pumping = true
+	if !m.serving {
+		m.serving = true
 
-		go l.pump()
+		go m.serve()
 	}
 
 	return nil
 }
 
-// longQueue is from what length on the queue's rate predicts the wait.
-const longQueue = 8
+// minQueueForRate is from what length on the queue's rate predicts the wait.
+const minQueueForRate = 8
 
 // tooLate reports whether the request could not start in time even if the
 // queue goes on as fast as of late.
-func (l *line) tooLate(it *queue.Item[*waiter]) bool {
-	n := l.q.Len()
-	if n < longQueue || len(l.d.cfg.Table.Targets(l.model)) == 0 {
+func (m *modelQueue) tooLate(it *queue.Item[*waiter]) bool {
+	n := m.q.Len()
+	if n < minQueueForRate || len(m.d.cfg.Table.Targets(m.model)) == 0 {
 		return false
 	}
 
 	// A customer with few waiting requests is served before the others' long
 	// lines, so only the customer's own even share counts.
-	ahead := min(n, l.q.Customers()*(l.q.Waiting(it.Customer)+1))
+	ahead := min(n, m.q.Customers()*(m.q.Waiting(it.Customer)+1))
 
-	return time.Now().Add(time.Duration(ahead) * l.rate.gap).After(it.Deadline)
+	return time.Now().Add(time.Duration(ahead) * m.startRate.gap).After(it.Deadline)
 }
 
 // drainTime estimates how long the waiting requests take to start.
-func (l *line) drainTime() time.Duration {
-	return max(overloadRetry, time.Duration(l.q.Len())*l.rate.gap)
+func (m *modelQueue) drainTime() time.Duration {
+	return max(defaultRetryAfter, time.Duration(m.q.Len())*m.startRate.gap)
 }
 
 func (w *waiter) refuse(r *request.Refusal) { w.granted <- grant{refusal: r} }
 
-func (l *line) leave(it *queue.Item[*waiter]) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (m *modelQueue) remove(it *queue.Item[*waiter]) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 
-	return l.q.Remove(it)
+	return m.q.Remove(it)
 }
 
 // Kick makes every line look for targets at once, because routing changed.
 func (d *Dispatcher) Kick() {
-	d.lines.Range(func(_, value any) bool {
-		value.(*line).poke() //nolint:forcetypeassert // The map holds nothing else.
+	d.queues.Range(func(_, value any) bool {
+		value.(*modelQueue).wake() //nolint:forcetypeassert // The map holds nothing else.
 
 		return true
 	})
 }
 
-func (l *line) poke() {
+func (m *modelQueue) wake() {
 	select {
-	case l.kick <- struct{}{}:
+	case m.wakeUp <- struct{}{}:
 	default:
 	}
 }
 
-// pumpEvery is how often a line looks for targets and hopeless requests when
+// serveInterval is how often a line looks for targets and hopeless requests when
 // nothing wakes it.
-const pumpEvery = 20 * time.Millisecond
+const serveInterval = 20 * time.Millisecond
 
-// pump grants targets to the waiting until nobody waits.
-func (l *line) pump() {
-	t := time.NewTicker(pumpEvery)
+// serve grants targets to the waiting until nobody waits.
+func (m *modelQueue) serve() {
+	t := time.NewTicker(serveInterval)
 	defer t.Stop()
 
-	for l.serveOnce() {
+	for m.serveOnce() {
 		select {
-		case <-l.kick:
+		case <-m.wakeUp:
 		case <-t.C:
 		}
 	}
@@ -259,21 +259,21 @@
 
 // serveOnce grants what can be granted and refuses what is hopeless. It
 // reports whether anybody still waits.
-func (l *line) serveOnce() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (m *modelQueue) serveOnce() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 
 	now := time.Now()
 
-	l.refuseDenied()
-	l.refuseHopeless(now)
+	m.refuseDenied()
+	m.refuseLate(now)
 
-	for l.q.Len() > 0 && l.grantNext() {
-		l.rate.note(now)
+	for m.q.Len() > 0 && m.grantNext() {
+		m.startRate.record(now)
 	}
 
-	if l.q.Len() == 0 {
-		l.pumping = false
+	if m.q.Len() == 0 {
+		m.serving = false
 
 		return false
 	}
@@ -283,12 +283,12 @@
 
 // grantNext gives a target to the next request that can have one. A request
 // with demands of its own, such as a suspect, does not hold up the others.
-func (l *line) grantNext() bool {
+func (m *modelQueue) grantNext() bool {
 	var t *router.Target
 
-	full, waiting := false, l.q.Len()
+	full, waiting := false, m.q.Len()
 
-	it := l.q.PopFunc(func(it *queue.Item[*waiter]) bool {
+	it := m.q.PopFunc(func(it *queue.Item[*waiter]) bool {
 		q := &it.Value.query
 		plain := !q.Suspect && len(q.Exclude) == 0
 
@@ -296,11 +296,11 @@
 			return false
 		}
 
-		t = l.choose(q, waiting)
+		t = m.choose(q, waiting)
 		if t == nil && len(q.Exclude) > 0 {
 			// Nobody else can take it, so the target that failed may.
 			q.Exclude = nil
-			t = l.choose(q, waiting)
+			t = m.choose(q, waiting)
 		}
 
 		full = full || t == nil && plain
@@ -318,24 +318,24 @@
 
 // refuseDenied refuses the waiting when the cell's holder says that no
 // replica can be had. A word from before the request counts for nothing.
-func (l *line) refuseDenied() {
-	wait, ok := l.d.cfg.Table.Wait(l.model)
+func (m *modelQueue) refuseDenied() {
+	wait, ok := m.d.cfg.Table.Wait(m.model)
 	if !ok || wait.Reason == "" {
 		return
 	}
 
-	at := l.d.cfg.Table.Position(l.d.cfg.CellOf(l.model)).At
+	at := m.d.cfg.Table.Position(m.d.cfg.CellOf(m.model)).At
 
 	var denied []*queue.Item[*waiter]
 
-	l.q.Each(func(it *queue.Item[*waiter]) {
+	m.q.Each(func(it *queue.Item[*waiter]) {
 		if at.After(it.Value.since) {
 			denied = append(denied, it)
 		}
 	})
 
 	for _, it := range denied {
-		l.q.Remove(it)
+		m.q.Remove(it)
 		it.Value.refuse(request.Refuse(codeOf(wait.Reason), wait.RetryAfter, wait.Reason))
 	}
 }
@@ -353,14 +353,14 @@
 	return request.StoreDown
 }
 
-// refuseHopeless refuses requests as soon as they cannot be answered in time,
+// refuseLate refuses requests as soon as they cannot be answered in time,
 // rather than when their time is up.
-func (l *line) refuseHopeless(now time.Time) {
+func (m *modelQueue) refuseLate(now time.Time) {
 	start, code := now, request.DeadlineAhead
 
-	if !router.Usable(l.d.cfg.Table.Targets(l.model)) {
-		if wait, ok := l.wait(); ok {
-			at := l.d.cfg.Table.Position(l.d.cfg.CellOf(l.model)).At
+	if !router.AnyUsable(m.d.cfg.Table.Targets(m.model)) {
+		if wait, ok := m.modelWait(); ok {
+			at := m.d.cfg.Table.Position(m.d.cfg.CellOf(m.model)).At
 			start, code = at.Add(wait.Ready), request.TooCold
 		}
 	}
@@ -369,30 +369,30 @@
 		start = now
 	}
 
-	for _, it := range l.q.Hopeless(start) {
-		retry := max(start.Sub(now), l.drainTime())
+	for _, it := range m.q.RemoveLate(start) {
+		retry := max(start.Sub(now), m.drainTime())
 		it.Value.refuse(request.Refuse(code, retry, "it could not be answered before its deadline"))
 	}
 }
 
-// wait says when the line's model can be had, or else what it needs.
-func (l *line) wait() (router.Wait, bool) {
-	wait, ok := l.d.cfg.Table.Wait(l.model)
-	if ok || l.d.cfg.Needs == nil {
+// modelWait says when the line's model can be had, or else what it needs.
+func (m *modelQueue) modelWait() (router.Wait, bool) {
+	wait, ok := m.d.cfg.Table.Wait(m.model)
+	if ok || m.d.cfg.Needs == nil {
 		return wait, ok
 	}
 
-	return l.d.cfg.Table.Wait(l.d.cfg.Needs(l.model))
+	return m.d.cfg.Table.Wait(m.d.cfg.Needs(m.model))
 }
 
-func (l *line) demand(model string) (replica.Demand, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (m *modelQueue) demand(model string) (replica.Demand, bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 
 	now := time.Now()
-	d := replica.Demand{Model: model, Waiting: l.q.Len(), Arrived: int(l.arrived.Swap(0))}
+	d := replica.Demand{Model: model, Waiting: m.q.Len(), Arrived: int(m.arrived.Swap(0))}
 
-	l.q.Each(func(it *queue.Item[*waiter]) {
+	m.q.Each(func(it *queue.Item[*waiter]) {
 		req := it.Value.req
 
 		if d.Plan == "" || req.Priority > d.Priority {
@@ -409,27 +409,27 @@
 	return d, d.Waiting > 0 || d.Arrived > 0
 }
 
-func (l *line) countPlans(n map[string]int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (m *modelQueue) countPlans(n map[string]int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 
-	l.q.Each(func(it *queue.Item[*waiter]) { n[it.Value.req.Plan]++ })
+	m.q.Each(func(it *queue.Item[*waiter]) { n[it.Value.req.Plan]++ })
 }
 
-func (l *line) refuseWaiting(why func(*request.Request) *request.Refusal) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (m *modelQueue) refuseWaiting(why func(*request.Request) *request.Refusal) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 
 	refusals := make(map[*queue.Item[*waiter]]*request.Refusal)
 
-	l.q.Each(func(it *queue.Item[*waiter]) {
+	m.q.Each(func(it *queue.Item[*waiter]) {
 		if r := why(it.Value.req); r != nil {
 			refusals[it] = r
 		}
 	})
 
 	for it, r := range refusals {
-		l.q.Remove(it)
+		m.q.Remove(it)
 		it.Value.refuse(r)
 	}
 }
--- a/internal/serving/dispatch/overload_test.go
+++ b/internal/serving/dispatch/overload_test.go
@@ -39,7 +39,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t, 0)
+				b := newFixture(t, 0)
 
 				if tc.wait != nil {
 					time.AfterFunc(100*time.Millisecond, func() { b.publish(*tc.wait) })
@@ -65,7 +65,7 @@
 // because nothing is foretold of the adapter itself.
 func TestWaitOfWhatIsNeeded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 1)
+		b := newFixture(t, 1)
 		b.cfg.Needs = func(string) string { return "base" }
 		b.table.Targets(model)[0].Leave()
 		b.publish(router.Wait{Model: "base", Ready: 30 * time.Second})
@@ -84,7 +84,7 @@
 // has denied the model to others: the old word must not refuse it.
 func TestOldDenial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 0)
+		b := newFixture(t, 0)
 		b.publish(router.Wait{Model: model, Reason: replica.ReasonBusy})
 		time.Sleep(100 * time.Millisecond)
 
@@ -99,7 +99,7 @@
 // ready, and the holder hears of the earliest deadline and their number.
 func TestColdStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 1)
+		b := newFixture(t, 1)
 		e := b.engines[0]
 		b.engines = nil
 		b.publish()
@@ -138,7 +138,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			const seconds = 30
 
-			b := newBench(t, 2)
+			b := newFixture(t, 2)
 
 			// One answer takes about 0.35 s on a full engine, so 8 slots give
 			// this many answers a second.
@@ -203,7 +203,7 @@
 // of a busy model.
 func TestIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 1)
+		b := newFixture(t, 1)
 		idle := 0
 		b.cfg.Idle = func() { idle++ }
 
--- /dev/null
+++ b/internal/serving/dispatch/stalltimer.go
@@ -0,0 +1,53 @@
+package dispatch
+
+import (
+	"context"
+	"sync/atomic"
+	"time"
+)
+
+// stallError says that a stream was silent for longer than is normal.
+type stallError struct{ err error }
+
+func (e *stallError) Error() string { return "stream went silent: " + e.err.Error() }
+
+func (e *stallError) Unwrap() error { return e.err }
+
+// stallTimer cancels a sending that stays silent for too long.
+//
+// It guards against a connection that goes silent for good while new ones
+// work: without it the request would hang until its deadline.
+type stallTimer struct {
+	ctx     context.Context //nolint:containedctx // The watch is the context's owner.
+	cancel  context.CancelFunc
+	timer   *time.Timer
+	stalled atomic.Bool
+}
+
+func newStallTimer(ctx context.Context, bound time.Duration) *stallTimer {
+	t := &stallTimer{}
+	t.ctx, t.cancel = context.WithCancel(ctx)
+	t.timer = time.AfterFunc(bound, func() {
+		t.stalled.Store(true)
+		t.cancel()
+	})
+
+	return t
+}
+
+func (t *stallTimer) pause() { t.timer.Stop() }
+
+func (t *stallTimer) reset(bound time.Duration) { t.timer.Reset(bound) }
+
+func (t *stallTimer) stop() {
+	t.timer.Stop()
+	t.cancel()
+}
+
+func (t *stallTimer) wrap(err error) error {
+	if t.stalled.Load() {
+		return &stallError{err}
+	}
+
+	return err
+}
--- a/internal/serving/queue/queue.go
+++ b/internal/serving/queue/queue.go
@@ -20,7 +20,7 @@
 	Deadline time.Time
 	Value    T
 
-	line  *line[T]
+	owner *customerQueue[T]
 	index int
 }
 
@@ -36,18 +36,18 @@
 	// Limit bounds the waiting requests; zero means none.
 	Limit int
 
-	lines map[string]*line[T]
-	// clock is the virtual time: the tag of the line served last. It never
+	byCustomer map[string]*customerQueue[T]
+	// virtualTime is the virtual time: the tag of the line served last. It never
 	// decreases.
-	clock float64
-	// past keeps the tags of customers that have nothing waiting. All are
+	virtualTime float64
+	// idleTags keeps the tags of customers that have nothing waiting. All are
 	// above the clock when they are put in.
-	past map[string]float64
-	n    int
+	idleTags map[string]float64
+	length   int
 }
 
-// line is one customer's waiting requests, a heap by deadline.
-type line[T any] struct {
+// customerQueue is one customer's waiting requests, a heap by deadline.
+type customerQueue[T any] struct {
 	customer string
 	items    []*Item[T]
 	// tag is the virtual time at which the line is next served. Lines with
@@ -55,41 +55,43 @@
 	tag float64
 }
 
-func (l *line[T]) Len() int           { return len(l.items) }
-func (l *line[T]) Less(i, j int) bool { return l.items[i].Deadline.Before(l.items[j].Deadline) }
+func (c *customerQueue[T]) Len() int { return len(c.items) }
+func (c *customerQueue[T]) Less(i, j int) bool {
+	return c.items[i].Deadline.Before(c.items[j].Deadline)
+}
 
-func (l *line[T]) Swap(i, j int) {
-	l.items[i], l.items[j] = l.items[j], l.items[i]
-	l.items[i].index, l.items[j].index = i, j
+func (c *customerQueue[T]) Swap(i, j int) {
+	c.items[i], c.items[j] = c.items[j], c.items[i]
+	c.items[i].index, c.items[j].index = i, j
 }
 
 // Push implements heap.Interface.
-func (l *line[T]) Push(x any) {
+func (c *customerQueue[T]) Push(x any) {
 	it, _ := x.(*Item[T])
-	it.index = len(l.items)
-	l.items = append(l.items, it)
+	it.index = len(c.items)
+	c.items = append(c.items, it)
 }
 
 // Pop implements heap.Interface.
-func (l *line[T]) Pop() any {
-	last := len(l.items) - 1
-	it := l.items[last]
-	l.items[last] = nil
-	l.items = l.items[:last]
+func (c *customerQueue[T]) Pop() any {
+	last := len(c.items) - 1
+	it := c.items[last]
+	c.items[last] = nil
+	c.items = c.items[:last]
 
 	return it
 }
 
 // Len returns how many requests wait.
-func (q *Queue[T]) Len() int { return q.n }
+func (q *Queue[T]) Len() int { return q.length }
 
 // Customers returns how many customers have requests waiting.
-func (q *Queue[T]) Customers() int { return len(q.lines) }
+func (q *Queue[T]) Customers() int { return len(q.byCustomer) }
 
 // Waiting returns how many requests of the customer wait.
 func (q *Queue[T]) Waiting(customer string) int {
-	if l := q.lines[customer]; l != nil {
-		return l.Len()
+	if c := q.byCustomer[customer]; c != nil {
+		return c.Len()
 	}
 
 	return 0
@@ -102,10 +104,10 @@
 func (q *Queue[T]) Push(it *Item[T]) (*Item[T], error) {
 	var displaced *Item[T]
 
-	if q.Limit > 0 && q.n >= q.Limit {
+	if q.Limit > 0 && q.length >= q.Limit {
 		longest := q.longest()
 		if q.Waiting(it.Customer)+1 >= longest.Len() {
-			return nil, &FullError{Waiting: q.n}
+			return nil, &FullError{Waiting: q.length}
 		}
 
 		displaced = latest(longest)
@@ -118,38 +120,38 @@
 }
 
 func (q *Queue[T]) add(it *Item[T]) {
-	if q.lines == nil {
-		q.lines = make(map[string]*line[T])
+	if q.byCustomer == nil {
+		q.byCustomer = make(map[string]*customerQueue[T])
 	}
 
-	l := q.lines[it.Customer]
-	if l == nil {
-		l = &line[T]{customer: it.Customer, tag: max(q.clock, q.past[it.Customer])}
-		q.lines[it.Customer] = l
+	c := q.byCustomer[it.Customer]
+	if c == nil {
+		c = &customerQueue[T]{customer: it.Customer, tag: max(q.virtualTime, q.idleTags[it.Customer])}
+		q.byCustomer[it.Customer] = c
 	}
 
-	it.line = l
-	heap.Push(l, it)
+	it.owner = c
+	heap.Push(c, it)
 
-	q.n++
+	q.length++
 }
 
-func (q *Queue[T]) longest() *line[T] {
-	var longest *line[T]
+func (q *Queue[T]) longest() *customerQueue[T] {
+	var longest *customerQueue[T]
 
-	for _, l := range q.lines {
-		if longest == nil || l.Len() > longest.Len() ||
-			l.Len() == longest.Len() && l.customer < longest.customer {
-			longest = l
+	for _, c := range q.byCustomer {
+		if longest == nil || c.Len() > longest.Len() ||
+			c.Len() == longest.Len() && c.customer < longest.customer {
+			longest = c
 		}
 	}
 
 	return longest
 }
 
-func latest[T any](l *line[T]) *Item[T] {
-	last := l.items[0]
-	for _, it := range l.items {
+func latest[T any](c *customerQueue[T]) *Item[T] {
+	last := c.items[0]
+	for _, it := range c.items {
 		if it.Deadline.After(last.Deadline) {
 			last = it
 		}
@@ -167,14 +169,14 @@
 // offers one request of each customer, in the order in which they are to be
 // served, and leaves those that accept declines in their places.
 func (q *Queue[T]) PopFunc(accept func(*Item[T]) bool) *Item[T] {
-	for _, l := range q.inOrder() {
-		it := l.items[0]
+	for _, c := range q.inServiceOrder() {
+		it := c.items[0]
 		if !accept(it) {
 			continue
 		}
 
-		q.clock = max(q.clock, l.tag)
-		l.tag += 1 / float64(max(1, it.Weight))
+		q.virtualTime = max(q.virtualTime, c.tag)
+		c.tag += 1 / float64(max(1, it.Weight))
 		q.Remove(it)
 
 		return it
@@ -183,13 +185,13 @@
 	return nil
 }
 
-func (q *Queue[T]) inOrder() []*line[T] {
-	lines := make([]*line[T], 0, len(q.lines))
-	for _, l := range q.lines {
-		lines = append(lines, l)
+func (q *Queue[T]) inServiceOrder() []*customerQueue[T] {
+	lines := make([]*customerQueue[T], 0, len(q.byCustomer))
+	for _, c := range q.byCustomer {
+		lines = append(lines, c)
 	}
 
-	slices.SortFunc(lines, func(a, b *line[T]) int {
+	slices.SortFunc(lines, func(a, b *customerQueue[T]) int {
 		return cmp.Or(
 			cmp.Compare(a.tag, b.tag),
 			a.items[0].Deadline.Compare(b.items[0].Deadline),
@@ -202,60 +204,60 @@
 
 // Remove takes it out of the queue. It reports whether it was still there.
 func (q *Queue[T]) Remove(it *Item[T]) bool {
-	l := it.line
-	if l == nil {
+	c := it.owner
+	if c == nil {
 		return false
 	}
 
-	heap.Remove(l, it.index)
+	heap.Remove(c, it.index)
 
-	it.line = nil
-	q.n--
+	it.owner = nil
+	q.length--
 
-	if l.Len() == 0 {
-		q.forget(l)
+	if c.Len() == 0 {
+		q.removeCustomer(c)
 	}
 
 	return true
 }
 
-// forget drops an empty line but keeps its tag while that lies ahead of the
+// removeCustomer drops an empty line but keeps its tag while that lies ahead of the
 // clock. Without it, a customer that sends its next request only after its
 // last one was served would start at the clock each time and starve the
 // customers that wait.
-func (q *Queue[T]) forget(l *line[T]) {
-	delete(q.lines, l.customer)
+func (q *Queue[T]) removeCustomer(c *customerQueue[T]) {
+	delete(q.byCustomer, c.customer)
 
-	if q.n == 0 {
-		q.clock = 0
-		clear(q.past)
+	if q.length == 0 {
+		q.virtualTime = 0
+		clear(q.idleTags)
 
 		return
 	}
 
-	if q.past == nil {
-		q.past = make(map[string]float64)
+	if q.idleTags == nil {
+		q.idleTags = make(map[string]float64)
 	}
 
-	for customer, tag := range q.past {
-		if tag <= q.clock {
-			delete(q.past, customer)
+	for customer, tag := range q.idleTags {
+		if tag <= q.virtualTime {
+			delete(q.idleTags, customer)
 		}
 	}
 
-	if l.tag > q.clock {
-		q.past[l.customer] = l.tag
+	if c.tag > q.virtualTime {
+		q.idleTags[c.customer] = c.tag
 	}
 }
 
-// Hopeless removes and returns the requests that would start later than
+// RemoveLate removes and returns the requests that would start later than
 // their deadline if they started at start.
-func (q *Queue[T]) Hopeless(start time.Time) []*Item[T] {
+func (q *Queue[T]) RemoveLate(start time.Time) []*Item[T] {
 	var out []*Item[T]
 
-	for _, l := range q.lines {
-		for l.Len() > 0 && l.items[0].Deadline.Before(start) {
-			it := l.items[0]
+	for _, c := range q.byCustomer {
+		for c.Len() > 0 && c.items[0].Deadline.Before(start) {
+			it := c.items[0]
 			q.Remove(it)
 
 			out = append(out, it)
@@ -267,8 +269,8 @@
 
 // Each calls f for every waiting request.
 func (q *Queue[T]) Each(f func(*Item[T])) {
-	for _, l := range q.lines {
-		for _, it := range l.items {
+	for _, c := range q.byCustomer {
+		for _, it := range c.items {
 			f(it)
 		}
 	}
--- a/internal/serving/queue/queue_test.go
+++ b/internal/serving/queue/queue_test.go
@@ -86,7 +86,7 @@
 		_, _ = q.Push(item(fmt.Sprint(d), 1, d))
 	}
 
-	out := q.Hopeless(start.Add(4 * time.Second))
+	out := q.RemoveLate(start.Add(4 * time.Second))
 	slices.SortFunc(out, func(a, b *Item[int]) int { return a.Value - b.Value })
 	assert.Equal(t, len(out), 2)
 	assert.Equal(t, out[0].Value, 1)
--- a/internal/serving/route/route.go
+++ b/internal/serving/route/route.go
@@ -121,8 +121,8 @@
 	Models         map[string]Model
 }
 
-// requestTokens is what an ordinary request takes of an engine's memory.
-const requestTokens = 1700
+// typicalRequestTokens is what an ordinary request takes of an engine's memory.
+const typicalRequestTokens = 1700
 
 // Places returns how many ordinary requests a target with so many slots runs
 // together: no more than its memory for prompts and answers holds.
@@ -131,7 +131,7 @@
 		return slots
 	}
 
-	return min(slots, max(1, e.CacheTokens/requestTokens))
+	return min(slots, max(1, e.CacheTokens/typicalRequestTokens))
 }
 
 // Model is one checkpoint.
@@ -168,20 +168,20 @@
 type Table struct {
 	Config *Config
 
-	routes map[key]*Route
+	routes map[routeKey]*Route
 	hosts  map[string]bool
 }
 
-type key struct{ host, prefix string }
+type routeKey struct{ host, prefix string }
 
 // NewTable returns the table of the configuration, which must not change any
 // more.
 func NewTable(c *Config) *Table {
-	t := &Table{Config: c, routes: make(map[key]*Route, len(c.Routes)), hosts: make(map[string]bool)}
+	t := &Table{Config: c, routes: make(map[routeKey]*Route, len(c.Routes)), hosts: make(map[string]bool)}
 
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		t.routes[key{r.Host, r.Prefix}] = r
+		t.routes[routeKey{r.Host, r.Prefix}] = r
 		t.hosts[r.Host] = true
 	}
 
@@ -197,7 +197,7 @@
 	}
 
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
-		if r := t.routes[key{host, path[:end+1]}]; r != nil {
+		if r := t.routes[routeKey{host, path[:end+1]}]; r != nil {
 			return r
 		}
 	}
--- a/internal/serving/router/choose.go
+++ b/internal/serving/router/choose.go
@@ -24,14 +24,14 @@
 }
 
 const (
-	// sample is how many targets are compared for one request. With more the
+	// sampleSize is how many targets are compared for one request. With more the
 	// decision would get slower and hardly better.
-	sample = 8
-	// defaultFirstToken stands in while a target's speed is unknown.
-	defaultFirstToken = 200 * time.Millisecond
-	// warmShare is the part of the first-token time that is left when the
+	sampleSize = 8
+	// defaultTimeToFirstToken stands in while a target's speed is unknown.
+	defaultTimeToFirstToken = 200 * time.Millisecond
+	// warmFactor is the part of the first-token time that is left when the
 	// target has the prefix cached.
-	warmShare = 0.5
+	warmFactor = 0.5
 	// maxEjected is the share of a model's targets that may be ejected at a
 	// time. Above it failures say more about the requests than the targets.
 	maxEjected = 0.5
@@ -39,8 +39,8 @@
 
 // candidate is a target with its estimate.
 type candidate struct {
-	target   *Target
-	estimate float64
+	target     *Target
+	estimateNs float64
 }
 
 // Choose returns the target with the least estimated time to first token out
@@ -64,11 +64,11 @@
 	)
 
 	if q.Affinity != "" {
-		home = homeOf(targets, q.Affinity)
+		home = rendezvousTarget(targets, q.Affinity)
 		best = better(best, home, q, ignoreEjection, true)
 	}
 
-	if n <= sample {
+	if n <= sampleSize {
 		// From a random one on: entries that find all alike spread out.
 		start := rand.IntN(n) //nolint:gosec // No secret.
 
@@ -81,7 +81,7 @@
 		return best.target
 	}
 
-	for range sample - 1 {
+	for range sampleSize - 1 {
 		best = better(best, targets[rand.IntN(n)], q, ignoreEjection, false) //nolint:gosec // No secret.
 	}
 
@@ -108,9 +108,9 @@
 	return candidate{}
 }
 
-// homeOf returns the rendezvous choice over at most sample targets, which
+// rendezvousTarget returns the rendezvous choice over at most sample targets, which
 // start at a place that depends on the affinity alone.
-func homeOf(targets []*Target, affinity string) *Target {
+func rendezvousTarget(targets []*Target, affinity string) *Target {
 	n := len(targets)
 	start := int(instance.Score(affinity, "") % uint64(n)) //nolint:gosec // Below n.
 
@@ -119,7 +119,7 @@
 		most uint64
 	)
 
-	for i := range min(n, sample) {
+	for i := range min(n, sampleSize) {
 		t := targets[(start+i)%n]
 		if s := instance.Score(affinity, t.ID); home == nil || s > most {
 			home, most = t, s
@@ -130,40 +130,40 @@
 }
 
 func better(best candidate, t *Target, q *Query, ignoreEjection, warm bool) candidate {
-	if !t.takes(q, ignoreEjection) {
+	if !t.accepts(q, ignoreEjection) {
 		return best
 	}
 
 	e := t.estimate(q)
 	if warm {
-		e *= warmShare
+		e *= warmFactor
 	}
 
-	if best.target == nil || e < best.estimate {
-		return candidate{target: t, estimate: e}
+	if best.target == nil || e < best.estimateNs {
+		return candidate{target: t, estimateNs: e}
 	}
 
 	return best
 }
 
-// takes reports whether the target may be given one more request.
-func (t *Target) takes(q *Query, ignoreEjection bool) bool {
-	return !excluded(t.ID, q.Exclude) && (!q.Suspect || t.suspects.Load() == 0) && t.state(q, ignoreEjection) == open
+// accepts reports whether the target may be given one more request.
+func (t *Target) accepts(q *Query, ignoreEjection bool) bool {
+	return !excluded(t.ID, q.Exclude) && (!q.Suspect || t.suspects.Load() == 0) && t.availability(q, ignoreEjection) == available
 }
 
-// state is whether a target takes requests, or why not.
-type state int
+// availability is whether a target takes requests, or why not.
+type availability int
 
 const (
-	open state = iota
+	available availability = iota
 	leaving
 	dead
 	failing
 	full
 )
 
-// state returns whether the target takes requests, whichever they are.
-func (t *Target) state(q *Query, ignoreEjection bool) state {
+// availability returns whether the target takes requests, whichever they are.
+func (t *Target) availability(q *Query, ignoreEjection bool) availability {
 	if t.leaving.Load() {
 		return leaving
 	}
@@ -175,16 +175,16 @@
 		return dead
 	case !ignoreEjection && t.ejectedUntil.Load() > q.Now.UnixNano():
 		return failing
-	case t.own.Load() >= t.window(info, q):
+	case t.inFlight.Load() >= t.window(info, q):
 		return full
 	}
 
-	return open
+	return available
 }
 
-// Usable reports whether any of the targets takes requests, now or once those
+// AnyUsable reports whether any of the targets takes requests, now or once those
 // that it has have ended.
-func Usable(targets []*Target) bool {
+func AnyUsable(targets []*Target) bool {
 	return slices.ContainsFunc(targets, func(t *Target) bool { return !t.Leaving() && !t.Dead() })
 }
 
@@ -199,7 +199,7 @@
 	s := Standing{Holders: len(targets)}
 
 	for _, t := range targets {
-		switch t.state(q, false) {
+		switch t.availability(q, false) {
 		case leaving:
 			s.Leaving++
 		case dead:
@@ -208,7 +208,7 @@
 			s.Ejected++
 		case full:
 			s.Full++
-		case open:
+		case available:
 		}
 	}
 
@@ -251,45 +251,45 @@
 		return int64(share)
 	}
 
-	return max(int64(share), t.ownThen.Load()+t.part(free, entries, rivalsOf(info, entries, q.Waiting)))
+	return max(int64(share), t.inFlightAtReport.Load()+t.shareOfFree(free, entries, competitors(info, entries, q.Waiting)))
 }
 
-// rivals is how many entries are counted at most that send to the same target
+// maxCompetitors is how many entries are counted at most that send to the same target
 // before the next report, as long as nobody waits here. Between two reports a
 // busy target gets requests of a few entries, however many there are.
 //
 // It answers the load of many entries: if each assumed that all the others take
 // their parts of a target's places, it could have one request there at a time,
 // and the second would wait before a target that is nearly empty.
-const rivals = 8
+const maxCompetitors = 8
 
-// rivalsOf returns how many entries, this one included, are taken to send to the
+// competitors returns how many entries, this one included, are taken to send to the
 // target before the next report. Where requests wait here they wait elsewhere as
 // well: at as many entries as the report says, or at all if it does not.
 //
 // It answers the load of many entries and rare models: a single caller of a
 // model that has just been loaded would wait for seconds beside an empty target
 // if all entries were taken to have callers for it.
-func rivalsOf(info *TargetInfo, entries, waiting int) int {
+func competitors(info *TargetInfo, entries, waiting int) int {
 	switch {
 	case waiting == 0:
-		return min(entries, rivals)
+		return min(entries, maxCompetitors)
 	case info.Lines > 0:
-		return min(entries, max(rivals, info.Lines))
+		return min(entries, max(maxCompetitors, info.Lines))
 	default:
 		return entries
 	}
 }
 
-// part returns this entry's part of a target's free places among its rivals.
+// shareOfFree returns this entry's shareOfFree of a target's free places among its rivals.
 // Where there are more entries than that, what is left of the division goes to
 // entries by lot, drawn anew with each report.
-func (t *Target) part(free, entries, among int) int64 {
-	if entries <= rivals {
+func (t *Target) shareOfFree(free, entries, among int) int64 {
+	if entries <= maxCompetitors {
 		return int64(free / entries)
 	}
 
-	return int64(float64(free)/float64(among) + math.Float64frombits(t.lot.Load()))
+	return int64(float64(free)/float64(among) + math.Float64frombits(t.remainderDraw.Load()))
 }
 
 // estimate returns the expected time to first token in nanoseconds: the
@@ -298,13 +298,13 @@
 func (t *Target) estimate(q *Query) float64 {
 	info := t.info.Load()
 
-	first := float64(t.firstToken.Load())
+	first := float64(t.firstTokenNs.Load())
 	if first == 0 {
-		first = float64(defaultFirstToken) / max(0.1, info.Speed) //nolint:mnd // Guards a division.
+		first = float64(defaultTimeToFirstToken) / max(0.1, info.Speed) //nolint:mnd // Guards a division.
 	}
 
-	grown := float64(t.own.Load()-t.ownThen.Load()) * float64(max(1, min(q.Entries, rivals)))
-	load := max(float64(t.own.Load()), float64(info.Running+info.Waiting)+grown)
+	grown := float64(t.inFlight.Load()-t.inFlightAtReport.Load()) * float64(max(1, min(q.Entries, maxCompetitors)))
+	load := max(float64(t.inFlight.Load()), float64(info.Running+info.Waiting)+grown)
 
 	return first * (1 + load/float64(max(1, info.Slots)))
 }
@@ -333,14 +333,14 @@
 		return false
 	}
 
-	t.own.Add(1)
+	t.inFlight.Add(1)
 
 	return true
 }
 
 // End takes the request off again.
 func (t *Target) End(suspect bool) {
-	t.own.Add(-1)
+	t.inFlight.Add(-1)
 
 	if suspect {
 		t.suspects.Add(-1)
@@ -368,8 +368,8 @@
 	t.ejectedUntil.Store(now.Add(d).UnixNano())
 }
 
-// death is what was found of a target's incarnation.
-type death struct {
+// deathRecord is what was found of a target's incarnation.
+type deathRecord struct {
 	incarnation string
 	at          time.Time
 }
@@ -383,7 +383,7 @@
 		return false
 	}
 
-	return t.dead.CompareAndSwap(old, &death{incarnation: incarnation, at: now})
+	return t.dead.CompareAndSwap(old, &deathRecord{incarnation: incarnation, at: now})
 }
 
 // Dead reports whether the target's present incarnation is known to be dead.
@@ -393,9 +393,9 @@
 	return info != nil && t.isDead(info)
 }
 
-// aliveAfter is how long after a death was found a report must have been made
+// deathOverride is how long after a death was found a report must have been made
 // to prove it wrong.
-const aliveAfter = 500 * time.Millisecond
+const deathOverride = 500 * time.Millisecond
 
 // isDead reports whether the target's present incarnation was found dead, and
 // not heard of since by the cell's holder.
@@ -405,7 +405,7 @@
 		return false
 	}
 
-	return t.reportedAt.Load() < d.at.Add(aliveAfter).UnixNano()
+	return t.reportedAt.Load() < d.at.Add(deathOverride).UnixNano()
 }
 
 // Succeeded records a whole answer and its time to first token. Only whole
@@ -418,10 +418,10 @@
 
 	const gain = 0.2
 
-	old := float64(t.firstToken.Load())
+	old := float64(t.firstTokenNs.Load())
 	if old == 0 {
 		old = idle
 	}
 
-	t.firstToken.Store(int64(old + gain*(idle-old)))
+	t.firstTokenNs.Store(int64(old + gain*(idle-old)))
 }
--- a/internal/serving/router/crowd_test.go
+++ b/internal/serving/router/load_test.go
@@ -235,7 +235,7 @@
 	}
 
 	// Two counts, each with a part of 40 places by eight and one by lot.
-	assert.Assert(t, begun <= 2*(40/rivals+1), "%d begun", begun)
+	assert.Assert(t, begun <= 2*(40/maxCompetitors+1), "%d begun", begun)
 }
 
 // TestOneCallerAmongMany guards against a caller of a rare model that waits
--- a/internal/serving/router/table.go
+++ b/internal/serving/router/table.go
@@ -95,13 +95,13 @@
 	info atomic.Pointer[TargetInfo]
 	// reportedAt is when info was measured, in nanoseconds since 1970.
 	reportedAt atomic.Int64
-	// ownThen is this entry's share of the load when info was measured.
-	ownThen atomic.Int64
-	// lot is the bits of a number from zero to one that is drawn with each
+	// inFlightAtReport is this entry's share of the load when info was measured.
+	inFlightAtReport atomic.Int64
+	// remainderDraw is the bits of a number from zero to one that is drawn with each
 	// report.
-	lot atomic.Uint64
-	// own is how many of this entry's requests are on the target now.
-	own atomic.Int64
+	remainderDraw atomic.Uint64
+	// inFlight is how many of this entry's requests are on the target now.
+	inFlight atomic.Int64
 	// suspects is how many of them are suspected of crashing targets.
 	suspects atomic.Int64
 	// leaving is set at the first sign. Only a newer process of the target
@@ -110,10 +110,10 @@
 	// ejectedUntil is the end of an ejection, in nanoseconds since 1970.
 	ejectedUntil atomic.Int64
 	failures     atomic.Int64
-	dead         atomic.Pointer[death]
-	// firstToken is the learnt time to first token without queueing, in
+	dead         atomic.Pointer[deathRecord]
+	// firstTokenNs is the learnt time to first token without queueing, in
 	// nanoseconds; zero means unknown.
-	firstToken atomic.Int64
+	firstTokenNs atomic.Int64
 }
 
 // Info returns what was last published of the target.
@@ -132,17 +132,17 @@
 func (t *Target) Leaving() bool { return t.leaving.Load() }
 
 // Own returns how many of this entry's requests are on the target.
-func (t *Target) Own() int { return int(t.own.Load()) }
+func (t *Target) Own() int { return int(t.inFlight.Load()) }
 
 // Table is the routing table. The zero value is empty.
 type Table struct {
 	// mu orders writers. Readers take no lock.
 	mu      sync.Mutex
-	current atomic.Pointer[view]
+	current atomic.Pointer[version]
 }
 
-// view is one version of the table.
-type view struct {
+// version is one version of the table.
+type version struct {
 	models  *immutable.Map[string, []*Target]
 	targets *immutable.Map[instance.ID, *Target]
 	waits   map[string]Wait
@@ -154,16 +154,16 @@
 	Position
 
 	waits map[string]Wait
-	// seen are the targets of the cell, for the next whole snapshot.
-	seen map[instance.ID]bool
+	// targets are the targets of the cell, for the next whole snapshot.
+	targets map[instance.ID]bool
 }
 
-func (t *Table) view() *view {
+func (t *Table) view() *version {
 	if v := t.current.Load(); v != nil {
 		return v
 	}
 
-	return &view{
+	return &version{
 		models:  immutable.NewMap[string, []*Target](nil),
 		targets: immutable.NewMap[instance.ID, *Target](nil),
 	}
@@ -256,16 +256,16 @@
 }
 
 // apply returns the next view. Only what the snapshot names is copied.
-func (v *view) apply(s *Snapshot, p cellState, now time.Time) *view {
-	next := &view{models: v.models, targets: v.targets, cells: make(map[int]cellState, len(v.cells)+1)}
+func (v *version) apply(s *Snapshot, p cellState, now time.Time) *version {
+	next := &version{models: v.models, targets: v.targets, cells: make(map[int]cellState, len(v.cells)+1)}
 	maps.Copy(next.cells, v.cells)
 
-	seen := make(map[instance.ID]bool, len(p.seen)+len(s.Targets))
+	seen := make(map[instance.ID]bool, len(p.targets)+len(s.Targets))
 
 	if s.Base == 0 {
 		next.clearCell(s, p)
 	} else {
-		for id := range p.seen {
+		for id := range p.targets {
 			seen[id] = true
 		}
 	}
@@ -297,7 +297,7 @@
 	next.cells[s.Cell] = cellState{
 		Position: Position{Token: s.Token, Number: s.Number, Holder: s.Holder, At: now},
 		waits:    waits,
-		seen:     seen,
+		targets:  seen,
 	}
 	next.mergeWaits()
 
@@ -306,13 +306,13 @@
 
 // clearCell removes the cell's replicas, and its targets that the whole
 // snapshot s no longer has.
-func (v *view) clearCell(s *Snapshot, p cellState) {
+func (v *version) clearCell(s *Snapshot, p cellState) {
 	listed := make(map[instance.ID]bool, len(s.Targets))
 	for _, info := range s.Targets {
 		listed[info.ID] = true
 	}
 
-	for id := range p.seen {
+	for id := range p.targets {
 		if !listed[id] {
 			v.targets = v.targets.Delete(id)
 		}
@@ -328,7 +328,7 @@
 	}
 }
 
-func (v *view) setTarget(info TargetInfo, cell int, now time.Time) {
+func (v *version) setTarget(info TargetInfo, cell int, now time.Time) {
 	t, ok := v.targets.Get(info.ID)
 	if !ok || t.Address != info.Address {
 		t = &Target{ID: info.ID, DataCentre: info.DataCentre, Address: info.Address, Cell: cell}
@@ -357,11 +357,11 @@
 		return
 	}
 
-	t.ownThen.Store(t.own.Load())
-	t.lot.Store(math.Float64bits(rand.Float64())) //nolint:gosec // No secret.
+	t.inFlightAtReport.Store(t.inFlight.Load())
+	t.remainderDraw.Store(math.Float64bits(rand.Float64())) //nolint:gosec // No secret.
 }
 
-func (v *view) addReplica(r Replica) {
+func (v *version) addReplica(r Replica) {
 	t, ok := v.targets.Get(r.Target)
 	if !ok {
 		return
@@ -379,7 +379,7 @@
 	v.models = v.models.Set(r.Model, append(targets, t))
 }
 
-func (v *view) removeReplica(r Replica) {
+func (v *version) removeReplica(r Replica) {
 	old, _ := v.models.Get(r.Model)
 
 	targets := make([]*Target, 0, len(old))
@@ -398,7 +398,7 @@
 	v.models = v.models.Set(r.Model, targets)
 }
 
-func (v *view) mergeWaits() {
+func (v *version) mergeWaits() {
 	v.waits = make(map[string]Wait)
 
 	for _, p := range v.cells {
--- a/internal/serving/stream/stream.go
+++ b/internal/serving/stream/stream.go
@@ -26,10 +26,10 @@
 	done bool
 }
 
-// CrossedError says that a frame belongs to another request.
-type CrossedError struct{ Want, Got string }
+// WrongRequestError says that a frame belongs to another request.
+type WrongRequestError struct{ Want, Got string }
 
-func (e *CrossedError) Error() string {
+func (e *WrongRequestError) Error() string {
 	return fmt.Sprintf("stream: frame of request %s in the stream of %s", e.Got, e.Want)
 }
 
@@ -44,7 +44,7 @@
 // empty at the end mark.
 func (c *Checker) Accept(f target.Frame) (string, error) {
 	if f.RequestID != c.RequestID {
-		return "", &CrossedError{Want: c.RequestID, Got: f.RequestID}
+		return "", &WrongRequestError{Want: c.RequestID, Got: f.RequestID}
 	}
 
 	if f.Index != c.next || c.done || f.Index > c.Max {
@@ -83,9 +83,9 @@
 
 // The usual gains of the estimator and the multiple of the deviation.
 const (
-	meanGain = 1.0 / 8
-	devGain  = 1.0 / 4
-	devs     = 4
+	meanGain  = 1.0 / 8
+	devGain   = 1.0 / 4
+	devFactor = 4
 )
 
 // Learn takes in one measured gap.
@@ -113,7 +113,7 @@
 		return maxSilence
 	}
 
-	return min(max(time.Duration(g.mean+devs*g.dev), minSilence), maxSilence)
+	return min(max(time.Duration(g.mean+devFactor*g.dev), minSilence), maxSilence)
 }
 
 // Mean returns the learnt mean gap, or zero.
--- a/internal/serving/stream/stream_test.go
+++ b/internal/serving/stream/stream_test.go
@@ -49,7 +49,7 @@
 		})
 	}
 
-	var crossed *CrossedError
+	var crossed *WrongRequestError
 
 	_, err := (&Checker{RequestID: "r", Max: 1}).Accept(frame("q", 0, false))
 	assert.Assert(t, errors.As(err, &crossed))
