--- a/internal/serving/claim/claim_test.go
+++ b/internal/serving/claim/claim_test.go
@@ -21,9 +21,9 @@
 	return &Book{Table: p, Objects: p, Entry: instance.ID(id), Process: id}
 }
 
-// TestOneWinner is the story of a courier's app that sends a stamp booking to
-// eight entries at once, while answers of the table are lost: one entry may
-// send it, and the others must find out what became of it.
+// TestOneWinner sends a stamp booking to eight entries at once while answers of
+// the store are lost. Exactly one entry may forward it, and the others must
+// find the claim and later its answer.
 func TestOneWinner(t *testing.T) {
 	for _, lost := range []int{0, 1, 5} {
 		synctest.Test(t, func(t *testing.T) {
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestTableDown is the story of a booking during an outage of the table: the
-// claim cannot be proved, so the call must not be sent. The claim's write may
-// still have taken effect; it must not block the caller's next try for ever.
+// TestTableDown books during an outage of the store. The claim cannot be
+// confirmed, so the request must not be sent. The write may still take effect
+// later; it must not block the client's retries for ever.
 func TestTableDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p platform.Platform
@@ -115,7 +115,7 @@
 	})
 }
 
-// late lets commits take effect long after their caller gave up.
+// late makes commits take effect long after they have timed out.
 type late struct {
 	*platform.Platform
 
@@ -149,7 +149,7 @@
 	assert.NilError(t, b.Doubt(t.Context(), c))
 	assert.DeepEqual(t, take("claim/c/doubt"), Doubtful{})
 
-	// Nothing was sent: a repeat may run.
+	// Nothing was sent, so a repeated request may run.
 	c = take("claim/c/none").(Won).Claim
 	assert.NilError(t, b.Withdraw(t.Context(), c))
 
@@ -169,8 +169,8 @@
 	assert.Assert(t, len(row.Value) < 1000)
 }
 
-// TestBatch: claims of one entry that come together share transactions, and
-// each still has its own outcome.
+// TestBatch checks that concurrent claims of one entry share transactions and
+// that each still gets its own outcome.
 func TestBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p platform.Platform
--- a/internal/serving/crash/crash_test.go
+++ b/internal/serving/crash/crash_test.go
@@ -17,16 +17,15 @@
 	return Death{Target: instance.ID(target), Incarnation: incarnation}
 }
 
-// TestPoison is the story of a request that crashes each target that runs it
-// and is sent again by its caller: after the second target it is refused, and
-// after ten minutes it may be tried again.
+// TestPoison sends a request that crashes each target again and again. It must
+// be blocked after the second death, and allowed again after ten minutes.
 func TestPoison(t *testing.T) {
 	var b Registry
 
 	assert.Assert(t, !b.RecordDeath(1, death("t1", "a"), now))
 	assert.Assert(t, b.IsSuspect(1, now))
 	assert.Assert(t, !b.RecordDeath(1, death("t1", "a"), now), "one death counts once")
-	assert.Assert(t, b.RecordDeath(1, death("t1", "b"), now), "a target that came back and died again counts")
+	assert.Assert(t, b.RecordDeath(1, death("t1", "b"), now), "the death of a restarted target counts")
 
 	left, blocked := b.IsBlocked(1, now.Add(retention-time.Second))
 	assert.Assert(t, blocked)
@@ -44,7 +43,7 @@
 	assert.Assert(t, !b.IsSuspect(1, now))
 	assert.Assert(t, !b.RecordDeath(1, death("t2", "a"), now), "it ran to its end in between")
 
-	// A block heard from a peer is not lifted by an answer.
+	// A complete answer does not clear a block that a peer has reported.
 	b.Block(2, now)
 	b.Clear(2)
 
@@ -53,7 +52,7 @@
 	assert.DeepEqual(t, b.Blocked(now), []request.Fingerprint{2})
 }
 
-func TestBookIsBounded(t *testing.T) {
+func TestRegistryIsBounded(t *testing.T) {
 	var b Registry
 
 	b.Block(0, now)
@@ -65,5 +64,5 @@
 	assert.Assert(t, len(b.records) <= maxRecords)
 
 	_, blocked := b.IsBlocked(0, now)
-	assert.Assert(t, blocked, "what is blocked is kept longest")
+	assert.Assert(t, blocked, "blocked requests are evicted last")
 }
--- a/internal/serving/dispatch/dispatch.go
+++ b/internal/serving/dispatch/dispatch.go
@@ -309,12 +309,12 @@
 func (d *Dispatcher) recordDeath(fp request.Fingerprint, death crash.Death) bool {
 	d.crashMu.Lock()
 	now := time.Now()
-	news := d.crashes.RecordDeath(fp, death, now)
+	nowBlocked := d.crashes.RecordDeath(fp, death, now)
 	_, blocked := d.crashes.IsBlocked(fp, now)
 	d.crashRecords.Store(int64(d.crashes.Len()))
 	d.crashMu.Unlock()
 
-	if news {
+	if nowBlocked {
 		d.cfg.Noticed(Notice{Poisoned: fp})
 	}
 
--- a/internal/serving/dispatch/dispatch_test.go
+++ b/internal/serving/dispatch/dispatch_test.go
@@ -22,7 +22,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/standin/engine"
 )
 
-// fixture is a dispatcher before a few engines in memory, in a synctest bubble.
+// fixture is a dispatcher with some engines in memory, in a synctest bubble.
 type fixture struct {
 	*Dispatcher
 
@@ -39,13 +39,13 @@
 
 const model = "m"
 
-// newFixture makes engines on which the model is ready.
+// newFixture returns a fixture with engines on which the model is ready.
 func newFixture(t *testing.T, engines int) *fixture {
 	t.Helper()
 
 	b := &fixture{}
 
-	// Goroutines that end by themselves get the time for it.
+	// Goroutines that end by themselves get time to do so.
 	t.Cleanup(func() { time.Sleep(time.Minute) })
 
 	for i := range engines {
@@ -110,7 +110,8 @@
 	synctest.Wait()
 }
 
-// publish tells the router how the engines are.
+// publish applies a snapshot of the engines' present state to the routing
+// table.
 func (b *fixture) publish(waits ...router.Wait) {
 	b.number++
 	s := &router.Snapshot{Token: 1, Number: b.number, Waits: waits}
@@ -134,7 +135,7 @@
 	}
 }
 
-// text gathers an answer.
+// text collects an answer.
 type text struct{ strings.Builder }
 
 // Token implements Sink.
@@ -155,7 +156,7 @@
 	}
 }
 
-// do runs a request and returns its text and refusal.
+// do sends a request and returns its answer, its refusal and its error.
 func (b *fixture) do(ctx context.Context, req *request.Request) (string, *request.Refusal, error) {
 	var out text
 
@@ -165,8 +166,8 @@
 	return out.String(), refusal, err
 }
 
-// faults are failures in the middle of an answer. In each the caller must get
-// the whole answer to its own request, each token once.
+// faults are failures while a request is answered. In each, the client must get
+// the complete answer to its own request, with each token once.
 var faults = map[string]struct {
 	engines int
 	before  func(b *fixture)
@@ -174,9 +175,9 @@
 	within  time.Duration
 }{
 	"none": {engines: 2, within: time.Second},
-	// An open stream goes quiet for good, because something between the two
-	// ends has lost track of it. The caller would see an answer that stops.
-	// On a new connection the target answers, so the stream goes on there.
+	// An open stream carries no more data, for example because a middlebox has
+	// dropped the connection. The client would see an answer that stops. The
+	// target answers on a new connection, so the stream is resumed there.
 	"stream goes silent": {
 		engines: 1, during: func(b *fixture) { b.engines[0].Silence() }, within: 2 * time.Second,
 	},
@@ -184,7 +185,7 @@
 	"stream is cut short": {
 		engines: 1, before: func(b *fixture) { b.engines[0].SetFaults(engine.Faults{Truncate: true}) }, within: time.Second,
 	},
-	// The target's process dies and another target has the model.
+	// The target's process dies, and another target has the model.
 	"target dies": {engines: 2, during: func(b *fixture) {
 		for _, e := range b.engines {
 			if _, running := e.Use(); running > 0 {
@@ -194,7 +195,7 @@
 			}
 		}
 	}, within: time.Second},
-	// The only target dies and comes back, and its model is loaded again.
+	// The only target dies and restarts, and its model is loaded again.
 	"only target dies and comes back": {engines: 1, during: func(b *fixture) {
 		b.engines[0].Crash()
 		time.AfterFunc(1200*time.Millisecond, func() {
@@ -206,12 +207,12 @@
 			time.AfterFunc(50*time.Millisecond, func() { b.publish() })
 		})
 	}, within: 3 * time.Second},
-	// The router's view is old: the model was unloaded a moment ago.
+	// The routing table is stale: the model has just been unloaded.
 	"model was unloaded": {engines: 2, before: func(b *fixture) {
 		_, _ = b.engines[0].Submit(context.Background(), target.Order{ID: "u", Action: target.Unload{Model: model}})
 	}, within: time.Second},
-	// The list says in the middle of an answer that its target is leaving, and
-	// soon after it is gone. The answer goes on elsewhere with its state.
+	// During an answer, its target is marked as leaving, and it stops soon
+	// after. The answer is resumed on another target with the engine's state.
 	"target leaves mid-answer": {engines: 2, during: func(b *fixture) {
 		for _, e := range b.engines {
 			if _, running := e.Use(); running > 0 {
@@ -220,7 +221,7 @@
 			}
 		}
 	}, within: time.Second},
-	// The target says that it takes no new work.
+	// The target refuses the request because it is leaving.
 	"target is leaving": {engines: 2, before: func(b *fixture) { b.engines[0].Leave() }, within: time.Second},
 }
 
@@ -230,7 +231,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				b := newFixture(t, f.engines)
 
-				// Teach the bounds of silence on calm streams first.
+				// Undisturbed streams give the samples for the bounds of silence.
 				for range 3 {
 					_, _, err := b.do(t.Context(), newRequest("calm", time.Minute))
 					assert.NilError(t, err)
@@ -254,8 +255,8 @@
 	}
 }
 
-// TestSwappedAnswers is the story of an engine that sends two answers to the
-// wrong requests: each caller must get its own answer, whole.
+// TestSwappedAnswers guards against an engine that swaps two answers: each
+// client must get its own answer, complete.
 func TestSwappedAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t, 1)
@@ -278,10 +279,9 @@
 	})
 }
 
-// TestPoisonAndBystanders is the story of one request that crashes each target
-// that runs it, among others that run beside it: it is stopped after the
-// second target and refused at once when its caller sends it again. The
-// others are answered.
+// TestPoisonAndBystanders sends a poison request among harmless ones. It must
+// be blocked after the second target that it crashes, and refused at once when
+// its client sends it again. The other requests must be answered.
 func TestPoisonAndBystanders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t, 4)
@@ -326,12 +326,12 @@
 			}
 		}
 
-		assert.Equal(t, poisoned, 1, "the peers are told once")
+		assert.Equal(t, poisoned, 1, "peers are notified once")
 	})
 }
 
-// TestCallerLeaves: when the caller goes away, the engine's slot is free at
-// once.
+// TestCallerLeaves checks that an engine's slot is released at once when the
+// client disconnects.
 func TestCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t, 1)
@@ -348,7 +348,7 @@
 	})
 }
 
-// slowSink is a caller that stops reading.
+// slowSink is a client that stops reading after some tokens.
 type slowSink struct{ after int }
 
 func (s *slowSink) Token(string) error {
@@ -372,8 +372,8 @@
 	})
 }
 
-// TestPlanRemoved: requests that wait are refused at once when the lists no
-// longer allow them.
+// TestPlanRemoved checks that queued requests are refused at once when the
+// lists no longer allow them.
 func TestPlanRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t, 0)
--- a/internal/serving/dispatch/forwarder.go
+++ b/internal/serving/dispatch/forwarder.go
@@ -152,7 +152,7 @@
 	f.last = t
 	f.incarnation, f.sentToDead = t.Info().Incarnation, t.Dead()
 
-	attempt := f.attempts.Send()
+	number := f.attempts.Send()
 	sent := time.Now()
 	load := t.Own()
 
@@ -165,13 +165,13 @@
 		Priority:  f.req.Priority,
 	})
 	if err != nil {
-		f.attempts.Learn(attempt, outcomeOf(err))
+		f.attempts.Learn(number, outcomeOf(err))
 
 		return stall.wrap(err)
 	}
 	defer s.Close()
 
-	tokens, err := f.relayTokens(s, stall, attempt, next, sent)
+	tokens, err := f.relayTokens(s, stall, number, next, sent)
 	if errors.Is(err, errMigrate) {
 		f.exportState(t)
 	}
@@ -180,7 +180,7 @@
 		return stall.wrap(err)
 	}
 
-	f.attempts.Learn(attempt, request.Completed)
+	f.attempts.Learn(number, request.Completed)
 
 	if tokens > 0 {
 		t.Succeeded(f.attemptFirstToken, load)
@@ -208,7 +208,7 @@
 }
 
 // relayTokens writes the stream's tokens to the sink until the end mark.
-func (f *forwarder) relayTokens(s target.Stream, stall *stallTimer, attempt int, bound time.Duration, sent time.Time) (int, error) {
+func (f *forwarder) relayTokens(s target.Stream, stall *stallTimer, number int, bound time.Duration, sent time.Time) (int, error) {
 	tokens := 0
 	last := sent
 
@@ -224,7 +224,7 @@
 		}
 
 		if tokens == 0 {
-			f.attempts.Learn(attempt, request.Begun)
+			f.attempts.Learn(number, request.Begun)
 		}
 
 		if f.checker.Done() {
--- a/internal/serving/dispatch/overload_test.go
+++ b/internal/serving/dispatch/overload_test.go
@@ -15,8 +15,8 @@
 	"github.com/fulmarcross/fulmarcross/internal/standin/engine"
 )
 
-// TestRefusals lists how a request is refused that gets no target, as soon as
-// that is certain, and truthfully.
+// TestRefusals lists requests that get no target. Each must be refused with the
+// right code as soon as it cannot be answered in time.
 func TestRefusals(t *testing.T) {
 	for name, tc := range map[string]struct {
 		wait    *router.Wait
@@ -25,17 +25,17 @@
 		within  time.Duration
 		retry   time.Duration
 	}{
-		"no replica can be had": {
+		"no replica can be loaded": {
 			&router.Wait{Model: model, Reason: replica.ReasonBusy, RetryAfter: 7 * time.Second},
 			time.Minute, request.Overloaded, time.Second, 7 * time.Second,
 		},
 		"no such checkpoint": {
 			&router.Wait{Model: model, Reason: replica.ReasonUnknown}, time.Minute, request.UnknownModel, time.Second, 0,
 		},
-		"the load takes longer than there is time": {
+		"the load would end after the deadline": {
 			&router.Wait{Model: model, Ready: 30 * time.Second}, 10 * time.Second, request.TooCold, time.Second, 20 * time.Second,
 		},
-		"nobody says anything": {nil, 5 * time.Second, request.DeadlineAhead, 5100 * time.Millisecond, time.Second},
+		"no Wait is published": {nil, 5 * time.Second, request.DeadlineAhead, 5100 * time.Millisecond, time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -58,12 +58,12 @@
 	}
 }
 
-// TestWaitOfWhatIsNeeded: the only target with an adapter's model is leaving,
-// and the holder says that the model can be had in 30 seconds. A request for
-// the adapter must be refused at once and told when to come back; it was held
-// until its caller left, because a leaving target still holds the model and
-// because nothing is foretold of the adapter itself.
-func TestWaitOfWhatIsNeeded(t *testing.T) {
+// TestWaitOfPrerequisite sends a request for an adapter while the only target
+// with its base model is leaving and the base model is predicted in 30 seconds.
+// The request must be refused at once with the time after which to retry. It
+// could otherwise be queued until its client disconnects, because a leaving
+// target still holds the model and no Wait is published for the adapter itself.
+func TestWaitOfPrerequisite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t, 1)
 		b.cfg.Needs = func(string) string { return "base" }
@@ -80,9 +80,9 @@
 	})
 }
 
-// TestOldDenial is the story of a request that comes just after the holder
-// has denied the model to others: the old word must not refuse it.
-func TestOldDenial(t *testing.T) {
+// TestStaleDenial guards against a new request being refused because the lease
+// holder denied the model to others just before it arrived.
+func TestStaleDenial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t, 0)
 		b.publish(router.Wait{Model: model, Reason: replica.ReasonBusy})
@@ -95,8 +95,9 @@
 	})
 }
 
-// TestColdStart: requests that wait for a cold model are all served once it is
-// ready, and the holder hears of the earliest deadline and their number.
+// TestColdStart checks that requests queued for a cold model are all served
+// once it is ready, and that their number and earliest deadline are reported to
+// the lease holder.
 func TestColdStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t, 1)
@@ -129,9 +130,9 @@
 	})
 }
 
-// TestOverload is the story of a morning with three times as many requests as
-// the targets can serve: nine tenths of the capacity must end in whole
-// answers, the queue stays bounded, and the customer with few requests gets
+// TestOverload sends up to three times as many requests as the targets can
+// serve. Complete answers must use nine tenths of the capacity, every request
+// must be answered or refused, and a customer with few requests must get
 // answers too.
 func TestOverload(t *testing.T) {
 	for _, factor := range []float64{1, 2, 3} {
@@ -198,9 +199,9 @@
 	}
 }
 
-// TestIdle: a rare model's last request on a target has ended, and others wait
-// for its place. Whoever decides must hear of it then, and not for each request
-// of a busy model.
+// TestIdle checks that Idle is called when the last request on a replica ends,
+// because other models may wait for its memory, and not for each request of a
+// busy model.
 func TestIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t, 1)
--- a/internal/serving/queue/queue_test.go
+++ b/internal/serving/queue/queue_test.go
@@ -33,10 +33,10 @@
 	assert.Assert(t, q.Pop() == nil)
 }
 
-// TestNobodyStarves is the story of a customer that floods a model while
-// another sends one request after the other: the second must be served in
-// turn, and the first must get its share too. Weights set the shares.
-func TestNobodyStarves(t *testing.T) {
+// TestNoCustomerStarves queues a flood of one customer while others send one
+// request after another. Each must be served in turn, with shares according to
+// their weights.
+func TestNoCustomerStarves(t *testing.T) {
 	var q Queue[int]
 	for i := range 1000 {
 		_, _ = q.Push(item("flood", 1, i))
@@ -73,14 +73,14 @@
 
 	assert.Assert(t, errors.As(err, &full))
 
-	// A newcomer displaces the latest request of the flood.
+	// Another customer displaces the request of the flood with the latest deadline.
 	out, err := q.Push(item("new", 1, 9))
 	assert.NilError(t, err)
 	assert.Equal(t, out.Value, 3)
 	assert.Equal(t, q.Len(), 4)
 }
 
-func TestHopeless(t *testing.T) {
+func TestRemoveLate(t *testing.T) {
 	var q Queue[int]
 	for _, d := range []int{1, 5, 3} {
 		_, _ = q.Push(item(fmt.Sprint(d), 1, d))
@@ -94,8 +94,8 @@
 	assert.Equal(t, q.Len(), 1)
 }
 
-// naive is a queue in a plain list. It knows what is in it, and each
-// customer's order, but nothing of fairness.
+// naive is a queue in a plain slice. It orders requests by deadline within a
+// customer and ignores fairness.
 type naive struct{ items []*Item[int] }
 
 func (n *naive) first(customer string) *Item[int] {
@@ -113,9 +113,10 @@
 	n.items = slices.DeleteFunc(n.items, func(o *Item[int]) bool { return o == it })
 }
 
-// TestAgainstNaive runs random steps against a plain list: nothing is lost or
-// doubled, within a customer the earliest deadline comes first, and with equal
-// weights no customer that waits is passed over for more than one round.
+// TestAgainstNaive compares random steps with a plain slice: no request is lost
+// or duplicated, within a customer the earliest deadline is first, and with
+// equal weights a customer with queued requests is passed over only a bounded
+// number of times.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var (
@@ -140,7 +141,7 @@
 					n.remove(it)
 
 					if !q.Remove(it) || q.Remove(it) {
-						t.Fatal("an item leaves exactly once")
+						t.Fatal("an item is removed exactly once")
 					}
 				}
 			}
--- a/internal/serving/route/route_test.go
+++ b/internal/serving/route/route_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// naive looks at every route.
+// naive is Match as a linear search over all routes.
 func naive(c *Config, host, path string) *Route {
 	var best *Route
 
@@ -22,7 +22,7 @@
 	return best
 }
 
-func TestMatchIsTheNaiveOne(t *testing.T) {
+func TestMatchEqualsLinearSearch(t *testing.T) {
 	part := rapid.SampledFrom([]string{"", "a", "b", "ab", "a%2Fb"})
 	path := rapid.Custom(func(t *rapid.T) string {
 		return "/" + strings.Join(rapid.SliceOfN(part, 0, 4).Draw(t, "parts"), "/")
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestPickKeepsTheWeights(t *testing.T) {
+func TestPickFollowsWeights(t *testing.T) {
 	r := Route{Splits: []Split{{"a", 90}, {"b", 10}}}
 	n := map[string]int{}
 
--- a/internal/serving/router/load_test.go
+++ b/internal/serving/router/load_test.go
@@ -10,10 +10,10 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// TestManyEntriesFillATarget: on a site of 83 entries a model is on one target,
-// which has room. Bursts of requests come to some entries and not to others.
-// They must not wait for places that entries without requests could take, and
-// must not be so many that the target's own queue overflows.
+// TestManyEntriesFillATarget runs 83 entries and one target that has free
+// slots. Bursts of requests arrive at some entries only. Requests must not wait
+// for slots that are set aside for entries without requests, and must not
+// overfill the target's own queue.
 func TestManyEntriesFillATarget(t *testing.T) {
 	const (
 		entries = 83
@@ -31,7 +31,7 @@
 	r := rand.New(rand.NewPCG(1, 2))
 
 	for step := range 400 {
-		// A report every fourth step, of 100 ms each.
+		// A step takes 100 ms, and every fourth step brings a report.
 		if step%4 == 0 {
 			number++
 
@@ -44,14 +44,14 @@
 
 		now = now.Add(100 * time.Millisecond)
 
-		// Each request runs for a second or so.
+		// Each request runs for about a second.
 		for _, table := range tables {
 			for target := table.Target("t"); target.Own() > 0 && r.IntN(10) == 0; running-- {
 				target.End(false)
 			}
 		}
 
-		// Three requests come to one entry, two steps of three.
+		// In two of three steps, three requests arrive at one entry.
 		if step%3 == 2 {
 			continue
 		}
@@ -74,14 +74,15 @@
 		most = max(most, running)
 	}
 
-	// With 83 rivals counted 547 of 801 had to wait.
+	// With 83 competitors assumed, 547 of 801 had to wait.
 	assert.Assert(t, waited < 300, "%d waited", waited)
 	assert.Assert(t, most <= slots+queue/2, "%d ran at once", most)
 }
 
-// The same target of a service got the requests of all entries, six in seven of
-// a whole site's, while two more like it stood idle. Nobody counts what runs
-// there: only engines' places are reported.
+// TestEqualTargetsShareALoad guards against one of three equal targets of a
+// plain service receiving six of seven requests from all entries while the
+// others are idle. The running requests of plain services are not reported,
+// only those of engines.
 func TestEqualTargetsShareALoad(t *testing.T) {
 	const (
 		entries = 84
@@ -101,7 +102,7 @@
 	got := make(map[instance.ID]int)
 
 	for step := range 400 {
-		// A report every fourth step, of 100 ms each.
+		// A step takes 100 ms, and every fourth step brings a report.
 		if step%4 == 0 {
 			for _, table := range tables {
 				s := &Snapshot{Token: 1, Number: uint64(1 + step)}
@@ -144,10 +145,10 @@
 	}
 }
 
-// TestFullTargetDrains: a model is on one target, more requests come than it
-// can run, and lines form at all 83 entries. The target must not get one of
-// each: it then has three times its slots, and no caller gets its first event
-// in time.
+// TestFullTargetDrains runs 83 entries that all have queued requests for a
+// model on one target, more than the target can run. If it got one request from
+// each entry, it would have three times its slots, and no client would get its
+// first event in time.
 func TestFullTargetDrains(t *testing.T) {
 	const (
 		entries = 83
@@ -200,15 +201,15 @@
 		most = max(most, running)
 	}
 
-	// Before, 83 ran at once, and more where entries had several already.
+	// One request from each entry would be 83, and more from those with several.
 	assert.Assert(t, most <= 2*slots, "%d ran at once", most)
-	// Of 40 places, slots and headroom, a third is free at each report.
+	// Of 40 requests, for the slots and the headroom, a third ends by each report.
 	assert.Assert(t, served > 200*slots/4, "%d served", served)
 }
 
-// TestOneCount: a target's routing is published many times while what runs there
-// was counted once, or, after a loss of power of all entries, not at all. Each
-// publication must not hand out the free places again.
+// TestOneCount publishes a target many times with the same count of running
+// requests, or with none, as after a power loss of all entries. A publication
+// without a new count must not hand out the free slots again.
 func TestOneCount(t *testing.T) {
 	var table Table
 
@@ -234,20 +235,21 @@
 		}
 	}
 
-	// Two counts, each with a part of 40 places by eight and one by lot.
+	// For each of two counts: 40 slots divided by eight, and one by chance.
 	assert.Assert(t, begun <= 2*(40/maxCompetitors+1), "%d begun", begun)
 }
 
-// TestOneCallerAmongMany guards against a caller of a rare model that waits
-// beside an empty target because all entries are taken to have callers for it.
-func TestOneCallerAmongMany(t *testing.T) {
+// TestOneClientAmongManyEntries guards against a client of a rare model waiting
+// although the target is empty, because all entries are assumed to have
+// requests for the model.
+func TestOneClientAmongManyEntries(t *testing.T) {
 	const entries = 195
 
 	for name, tc := range map[string]struct {
 		lines, least, most int
 	}{
-		"one entry has a line":    {lines: 8, least: 1, most: 2},
-		"all entries have a line": {lines: 256, least: 0, most: 1},
+		"one entry has queued requests":    {lines: 8, least: 1, most: 2},
+		"all entries have queued requests": {lines: 256, least: 0, most: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var table Table
--- a/internal/serving/router/router_test.go
+++ b/internal/serving/router/router_test.go
@@ -42,8 +42,9 @@
 	return &t
 }
 
-// TestApply is the story of snapshots that come late, twice, with gaps or from
-// a former holder: routing never goes back, and a gap is noticed.
+// TestApply applies snapshots that are late, repeated, have gaps or come from a
+// former lease holder. The routing table must not go back, and a gap must be
+// detected.
 func TestApply(t *testing.T) {
 	var table Table
 
@@ -54,14 +55,14 @@
 	assert.Assert(t, table.Apply(whole, now))
 	assert.Equal(t, len(table.Targets("a")), 2)
 
-	// From a former holder, or late: dropped, and no need to send the whole.
+	// Late, or from a former lease holder: dropped, and no complete one is requested.
 	assert.Assert(t, table.Apply(&Snapshot{Token: 1, Number: 99}, now))
 	assert.Assert(t, table.Apply(&Snapshot{Token: 2, Number: 4, Base: 3, Removed: []Replica{{"t1", "a"}}}, now))
 	assert.Equal(t, len(table.Targets("a")), 2)
 
 	// A gap.
 	assert.Assert(t, !table.Apply(&Snapshot{Token: 2, Number: 7, Base: 6}, now))
-	assert.Assert(t, !table.Apply(&Snapshot{Token: 3, Number: 6, Base: 5}, now), "a delta of another holder")
+	assert.Assert(t, !table.Apply(&Snapshot{Token: 3, Number: 6, Base: 5}, now), "a delta of another lease term")
 
 	old := table.Targets("a")[0]
 	old.Begin(false)
@@ -73,26 +74,26 @@
 	}
 	assert.Assert(t, table.Apply(delta, now))
 	assert.Equal(t, len(table.Targets("a")), 1)
-	assert.Equal(t, table.Targets("a")[0], old, "a target's counts outlive a snapshot")
+	assert.Equal(t, table.Targets("a")[0], old, "a target's counts are kept across snapshots")
 	assert.Equal(t, table.Targets("b")[0].ID, instance.ID("t3"))
 	assert.Assert(t, table.Target("t2") == nil)
 
 	w, ok := table.Wait("c")
 	assert.Assert(t, ok && w.Reason == "why")
 
-	// Another cell's snapshot leaves this one's targets alone.
+	// Another cell's snapshot does not change this one's targets.
 	assert.Assert(t, table.Apply(&Snapshot{Cell: 1, Token: 1, Number: 1, Targets: []TargetInfo{info(9)}}, now))
 	assert.Equal(t, len(table.All()), 3)
 
-	// A successor's whole snapshot replaces what it does not name.
+	// A new lease holder's complete snapshot removes what it does not list.
 	assert.Assert(t, table.Apply(&Snapshot{Token: 3, Number: 1, Targets: []TargetInfo{info(1)}}, now))
 	assert.Equal(t, len(table.Targets("a")), 0)
 	assert.Equal(t, len(table.All()), 2)
 }
 
-// TestDeltasEqualWhole: a table that got every delta shows the same as one
-// that got the whole at the end.
-func TestDeltasEqualWhole(t *testing.T) {
+// TestDeltasEqualCompleteState checks that a table that applied every delta equals the
+// complete state at the end.
+func TestDeltasEqualCompleteState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var deltas Table
 
@@ -141,7 +142,8 @@
 	})
 }
 
-// TestChooseRefuses lists targets that must not be given work.
+// TestChooseRefuses lists targets that must not be chosen, and similar ones
+// that may.
 func TestChooseRefuses(t *testing.T) {
 	q := func() *Query { return &Query{Entries: 1, Now: now} }
 
@@ -157,7 +159,7 @@
 			q.Exclude = []instance.ID{"t1"}
 		}},
 		"full": {info: info(1, func(t *TargetInfo) { t.Slots = 1 }), prep: func(t *Target, _ *Query) { t.Begin(false) }},
-		"another suspect there": {info: info(1), prep: func(t *Target, q *Query) {
+		"another suspect runs there": {info: info(1), prep: func(t *Target, q *Query) {
 			q.Suspect = true
 
 			t.Begin(true)
@@ -183,9 +185,9 @@
 	}
 }
 
-// TestBackAfterLeaving: a target says that it leaves, ends, and starts again
-// under its id and address. An entry that never saw its row vanish in between
-// must use it again; a late word of the former process's leaving must not.
+// TestBackAfterLeaving restarts a leaving target under the same id and address.
+// An entry that never saw it removed in between must use it again, but not
+// because of a late report of the former process.
 func TestBackAfterLeaving(t *testing.T) {
 	table := tableOf(info(1, func(i *TargetInfo) { i.Leaving = true }))
 	next := func(number uint64, change func(*TargetInfo)) *Target {
@@ -199,10 +201,9 @@
 	assert.Assert(t, next(104, func(i *TargetInfo) { i.Incarnation, i.Leaving = "new", true }) == nil, "the new one leaves")
 }
 
-// TestFailingFast is the story of a target that fails every request at once
-// and so looks like the fastest: after three failures in a row it must get no
-// more for a while, and one target that fails among two does not take the
-// other with it.
+// TestFailingFast guards against a target that fails every request at once and
+// so looks like the fastest. After three consecutive failures it must get no
+// requests for a while, and the other of two targets must stay usable.
 func TestFailingFast(t *testing.T) {
 	table := tableOf(info(1), info(2))
 	bad := table.Target("t1")
@@ -220,11 +221,11 @@
 		seen = seen || Choose(table.Targets("m"), &Query{Entries: 1, Now: now.Add(ejection)}) == bad
 	}
 
-	assert.Assert(t, seen, "it is tried again")
+	assert.Assert(t, seen, "the target is used again")
 }
 
-// simulate serves a steady load over entries that see reports which lag, and
-// returns the time to first token of every request. choose picks a target.
+// simulate serves a steady load on entries with lagging reports and returns the
+// sorted times to first token. choose chooses the targets.
 func simulate(speeds []float64, choose func([]*Target, *Query) *Target) []time.Duration {
 	const (
 		entries  = 8
@@ -327,9 +328,9 @@
 		free[at][slot] = begin.Add(took)
 		firsts = append(firsts, begin.Sub(clock)+took/2)
 
-		there := t.Own()
+		inFlight := t.Own()
 		t.Begin(false)
-		t.Succeeded(begin.Sub(clock)+took/2, there)
+		t.Succeeded(begin.Sub(clock)+took/2, inFlight)
 
 		busy[at]++
 
@@ -341,7 +342,8 @@
 	return firsts
 }
 
-// mixed are targets of which some are four times slower than others.
+// mixed are the speeds of targets of which some are four times slower than
+// others.
 var mixed = []float64{1, 4, 1, 2, 1, 4, 2, 1}
 
 func p95(all []time.Duration) time.Duration { return all[len(all)*95/100] }
@@ -362,8 +364,9 @@
 	}
 }
 
-// TestPolicyAgainstNaive: with mixed speeds, a report lag of 500 ms and eight
-// entries, the policy's time to first token must beat the naive ones.
+// TestPolicyAgainstNaive checks that Choose has a lower time to first token
+// than simple policies, with mixed speeds, a report lag of 500 ms and eight
+// entries.
 func TestPolicyAgainstNaive(t *testing.T) {
 	policy := p95(simulate(mixed, Choose))
 	naive := map[string]time.Duration{
--- a/internal/serving/stream/stream_test.go
+++ b/internal/serving/stream/stream_test.go
@@ -14,9 +14,9 @@
 	return target.Frame{RequestID: id, Index: index, Text: "x", End: end}
 }
 
-// TestChecker is the story of answers that are crossed, late or cut: the
-// caller must get each token of its own answer once, in order, and a short
-// answer must not pass for a whole one.
+// TestChecker checks answers that are swapped, late or truncated. The client
+// must get each token of its own answer once and in order, and a truncated
+// answer must not count as complete.
 func TestChecker(t *testing.T) {
 	for name, tc := range map[string]struct {
 		frames []target.Frame
@@ -24,7 +24,7 @@
 		done   bool
 		bad    bool
 	}{
-		"whole":                    {[]target.Frame{frame("r", 0, false), frame("r", 1, false), frame("r", 2, true)}, 2, true, false},
+		"complete":                 {[]target.Frame{frame("r", 0, false), frame("r", 1, false), frame("r", 2, true)}, 2, true, false},
 		"cut before its end mark":  {[]target.Frame{frame("r", 0, false)}, 1, false, false},
 		"another request's":        {[]target.Frame{frame("r", 0, false), frame("q", 1, false)}, 1, false, true},
 		"a token twice":            {[]target.Frame{frame("r", 0, false), frame("r", 0, false)}, 1, false, true},
