--- a/internal/serving/dispatch/dispatch.go
+++ b/internal/serving/dispatch/dispatch.go
@@ -1,6 +1,7 @@
 // Package dispatch forwards admitted requests to targets and relays their
-// answers. It queues requests per model, chooses targets, checks every frame,
-// resumes broken streams, and refuses requests that cannot be answered.
+// answers. It queues requests per model, chooses targets, checks every frame
+// and resumes broken streams. Requests that cannot be answered are refused, and
+// the refusal states only what is proved about whether they ran.
 package dispatch
 
 import (
--- a/internal/serving/dispatch/modelqueue.go
+++ b/internal/serving/dispatch/modelqueue.go
@@ -207,7 +207,8 @@
 	}
 
 	// A customer with few queued requests is served before the rest of longer
-	// queues, so only as many requests per customer count as this customer has.
+	// queues. Of each customer only as many requests are therefore counted as
+	// this one has queued, including the new request.
 	ahead := min(n, m.q.Customers()*(m.q.Waiting(it.Customer)+1))
 
 	return time.Now().Add(time.Duration(ahead) * m.startRate.gap).After(it.Deadline)
--- a/internal/serving/request/trail.go
+++ b/internal/serving/request/trail.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Fate is what is known about the outcome of one attempt.
+// Fate is the known result of one attempt.
 type Fate int
 
 // The outcomes of an attempt, ordered by how much the target may have done.
--- a/internal/serving/route/route.go
+++ b/internal/serving/route/route.go
@@ -17,7 +17,7 @@
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = iota
-	// Once requests, which are not idempotent, run at most once.
+	// Once requests run at most once.
 	Once
 	// Stream requests are answered by a series of events. They may run again
 	// only if the route is resumable.
