--- a/internal/serving/claim/claim_test.go
+++ b/internal/serving/claim/claim_test.go
@@ -17,13 +17,13 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/record"
 )
 
-func bookOf(p *platform.Platform, id string) *Book {
+func newBook(p *platform.Platform, id string) *Book {
 	return &Book{Table: p, Objects: p, Entry: instance.ID(id), Process: id}
 }
 
-// TestOneWinner is the story of a courier's app that sends a stamp booking to
-// eight entries at once, while answers of the table are lost: one entry may
-// send it, and the others must find out what became of it.
+// TestOneWinner sends a stamp booking to eight entries at once while answers of
+// the store are lost. Exactly one entry may forward it, and the others must
+// find the claim and later its answer.
 func TestOneWinner(t *testing.T) {
 	for _, lost := range []int{0, 1, 5} {
 		synctest.Test(t, func(t *testing.T) {
@@ -37,7 +37,7 @@
 
 			books := make([]*Book, 8)
 			for i := range books {
-				books[i] = bookOf(&p, fmt.Sprint(i))
+				books[i] = newBook(&p, fmt.Sprint(i))
 			}
 
 			p.SetFaults(platform.Faults{LoseAnswers: lost})
@@ -82,14 +82,14 @@
 	}
 }
 
-// TestTableDown is the story of a booking during an outage of the table: the
-// claim cannot be proved, so the call must not be sent. The claim's write may
-// still have taken effect; it must not block the caller's next try for ever.
+// TestTableDown books during an outage of the store. The claim cannot be
+// confirmed, so the request must not be sent. The write may still take effect
+// later; it must not block the client's retries for ever.
 func TestTableDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p platform.Platform
 
-		b := bookOf(&p, "a")
+		b := newBook(&p, "a")
 		slow := &late{Platform: &p}
 		slow.after.Store(int64(10 * time.Second))
 		b.Table = slow
@@ -115,7 +115,7 @@
 	})
 }
 
-// late lets commits take effect long after their caller gave up.
+// late makes commits take effect long after they have timed out.
 type late struct {
 	*platform.Platform
 
@@ -136,7 +136,7 @@
 func TestStates(t *testing.T) {
 	var p platform.Platform
 
-	b := bookOf(&p, "a")
+	b := newBook(&p, "a")
 	take := func(key string) Outcome {
 		o, err := b.Take(t.Context(), key, "d")
 		assert.NilError(t, err)
@@ -149,7 +149,7 @@
 	assert.NilError(t, b.Doubt(t.Context(), c))
 	assert.DeepEqual(t, take("claim/c/doubt"), Doubtful{})
 
-	// Nothing was sent: a repeat may run.
+	// Nothing was sent, so a repeated request may run.
 	c = take("claim/c/none").(Won).Claim
 	assert.NilError(t, b.Withdraw(t.Context(), c))
 
@@ -161,7 +161,7 @@
 
 	// A large answer goes to the object store.
 	c = take("claim/c/large").(Won).Claim
-	large := Answer{Status: 200, Body: make([]byte, inlineBody+1)}
+	large := Answer{Status: 200, Body: make([]byte, maxInlineBody+1)}
 	assert.NilError(t, b.Finish(t.Context(), c, large))
 	assert.DeepEqual(t, take("claim/c/large"), Answered{large})
 
@@ -169,13 +169,13 @@
 	assert.Assert(t, len(row.Value) < 1000)
 }
 
-// TestBatch: claims of one entry that come together share transactions, and
-// each still has its own outcome.
+// TestBatch checks that concurrent claims of one entry share transactions and
+// that each still gets its own outcome.
 func TestBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p platform.Platform
 
-		b := bookOf(&p, "a")
+		b := newBook(&p, "a")
 		_, err := b.Take(t.Context(), "claim/c/7", "d")
 		assert.NilError(t, err)
 
@@ -236,7 +236,7 @@
 func TestSweep(t *testing.T) {
 	var p platform.Platform
 
-	b := bookOf(&p, "a")
+	b := newBook(&p, "a")
 
 	for i := range 25 {
 		_, err := b.Take(t.Context(), fmt.Sprintf("claim/c/%02d", i), "d")
--- /dev/null
+++ b/internal/serving/dispatch/modelqueue.go
@@ -0,0 +1,443 @@
+package dispatch
+
+import (
+	"context"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/fulmarcross/fulmarcross/internal/placement/replica"
+	"github.com/fulmarcross/fulmarcross/internal/room/timeline"
+	"github.com/fulmarcross/fulmarcross/internal/serving/queue"
+	"github.com/fulmarcross/fulmarcross/internal/serving/request"
+	"github.com/fulmarcross/fulmarcross/internal/serving/router"
+)
+
+// modelQueue is the queue of one model on this entry.
+type modelQueue struct {
+	d     *Dispatcher
+	model string
+
+	mu sync.Mutex
+	q  queue.Queue[*waiter]
+	// serving says that a goroutine runs serve.
+	serving bool
+	wakeUp  chan struct{}
+	// startRate estimates how fast queued requests start.
+	startRate startRate
+	// arrived counts the requests that arrived since the last report.
+	arrived atomic.Int64
+}
+
+// waiter is one queued request.
+type waiter struct {
+	req     *request.Request
+	query   router.Query
+	since   time.Time
+	granted chan grant
+}
+
+// grant ends the wait of a queued request: with a target or a refusal.
+type grant struct {
+	target  *router.Target
+	refusal *request.Refusal
+}
+
+// startRate estimates the rate at which queued requests start.
+type startRate struct {
+	// gap is the smoothed time between two starts. Zero means unknown.
+	gap  time.Duration
+	last time.Time
+}
+
+func (r *startRate) record(now time.Time) {
+	const gain = 0.1
+
+	if !r.last.IsZero() {
+		gap := now.Sub(r.last)
+		if r.gap == 0 {
+			r.gap = gap
+		}
+
+		r.gap += time.Duration(gain * float64(gap-r.gap))
+	}
+
+	r.last = now
+}
+
+func (d *Dispatcher) queueOf(model string) *modelQueue {
+	if m, ok := d.queues.Load(model); ok {
+		return m.(*modelQueue) //nolint:forcetypeassert // The map holds nothing else.
+	}
+
+	m := &modelQueue{d: d, model: model, wakeUp: make(chan struct{}, 1)}
+	m.q.Limit = d.cfg.MaxWaiting
+	got, _ := d.queues.LoadOrStore(model, m)
+
+	return got.(*modelQueue) //nolint:forcetypeassert // The map holds nothing else.
+}
+
+// answerMargin is how long before its deadline a request must be answered, so
+// that the answer reaches the client in time.
+const answerMargin = 50 * time.Millisecond
+
+// acquire returns a target on which the request is counted, after queueing the
+// request if no target accepts it at once. The returned bool says whether the
+// model was cold.
+func (d *Dispatcher) acquire(ctx context.Context, req *request.Request, q router.Query) (*router.Target, bool, error) {
+	m := d.queueOf(req.Model)
+	if len(q.Exclude) == 0 {
+		m.arrived.Add(1)
+	}
+
+	if t := m.tryImmediately(&q); t != nil {
+		return t, false, nil
+	}
+
+	d.cfg.Log.Add(timeline.Event{Kind: timeline.Queued, Request: req.ID, Model: req.Model, Customer: req.Customer})
+
+	cold := len(d.cfg.Table.Targets(req.Model)) == 0
+
+	w := &waiter{req: req, query: q, since: time.Now(), granted: make(chan grant, 1)}
+	item := &queue.Item[*waiter]{
+		Customer: req.Customer,
+		Weight:   1 + req.Priority,
+		Deadline: req.Deadline.Add(-d.latencyOf(req.Model).duration(req.MaxTokens) - answerMargin),
+		Value:    w,
+	}
+
+	if err := m.push(item); err != nil {
+		return nil, cold, err
+	}
+
+	d.cfg.Demanded(req.Model)
+
+	select {
+	case g := <-w.granted:
+		return g.result(cold)
+	case <-ctx.Done():
+	}
+
+	if m.remove(item) {
+		return nil, cold, ctx.Err()
+	}
+
+	// The grant was sent while the context ended.
+	g := <-w.granted
+
+	return g.result(cold)
+}
+
+func (g grant) result(cold bool) (*router.Target, bool, error) {
+	if g.refusal != nil {
+		return nil, cold, g.refusal
+	}
+
+	return g.target, cold, nil
+}
+
+// tryImmediately chooses a target without queueing. It returns nil if other
+// requests are queued, so that none of them is overtaken.
+func (m *modelQueue) tryImmediately(q *router.Query) *router.Target {
+	m.mu.Lock()
+	waiting := m.q.Len()
+	m.mu.Unlock()
+
+	if waiting > 0 {
+		return nil
+	}
+
+	return m.choose(q, 0)
+}
+
+// choose chooses a target and counts the request on it. waiting is the number
+// of queued requests. It returns nil if no target accepts the request.
+func (m *modelQueue) choose(q *router.Query, waiting int) *router.Target {
+	q.Now, q.Waiting = time.Now(), waiting
+	q.Entries = m.d.cfg.Entries()
+
+	t := router.Choose(m.d.cfg.Table.Targets(m.model), q)
+	if t == nil || !t.Begin(q.Suspect) {
+		return nil
+	}
+
+	return t
+}
+
+// defaultRetryAfter is the shortest time after which a client is told to retry.
+const defaultRetryAfter = time.Second
+
+func (m *modelQueue) push(it *queue.Item[*waiter]) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+
+	if m.tooLate(it) {
+		return request.Refuse(request.DeadlineAhead, m.drainTime(), "the queue is too long to meet its deadline")
+	}
+
+	displaced, err := m.q.Push(it)
+	if err != nil {
+		return request.Refuse(request.Overloaded, m.drainTime(), "too many requests wait for this model")
+	}
+
+	if displaced != nil {
+		displaced.Value.refuse(request.Refuse(request.Overloaded, m.drainTime(),
+			"displaced by a customer with fewer waiting requests"))
+	}
+
+	if !m.serving {
+		m.serving = true
+
+		go m.serve()
+	}
+
+	return nil
+}
+
+// minQueueForRate is the length from which startRate is used to predict the
+// wait.
+const minQueueForRate = 8
+
+// tooLate reports whether the request would start after its deadline if queued
+// requests continue to start at the recent rate.
+func (m *modelQueue) tooLate(it *queue.Item[*waiter]) bool {
+	n := m.q.Len()
+	if n < minQueueForRate || len(m.d.cfg.Table.Targets(m.model)) == 0 {
+		return false
+	}
+
+	// A customer with few queued requests is served before the rest of longer
+	// queues. Of each customer only as many requests are therefore counted as
+	// this one has queued, including the new request.
+	ahead := min(n, m.q.Customers()*(m.q.Waiting(it.Customer)+1))
+
+	return time.Now().Add(time.Duration(ahead) * m.startRate.gap).After(it.Deadline)
+}
+
+// drainTime predicts how long it takes to start all queued requests.
+func (m *modelQueue) drainTime() time.Duration {
+	return max(defaultRetryAfter, time.Duration(m.q.Len())*m.startRate.gap)
+}
+
+func (w *waiter) refuse(r *request.Refusal) { w.granted <- grant{refusal: r} }
+
+func (m *modelQueue) remove(it *queue.Item[*waiter]) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+
+	return m.q.Remove(it)
+}
+
+// Kick makes every queue look for targets immediately, after a change of the
+// routing table.
+func (d *Dispatcher) Kick() {
+	d.queues.Range(func(_, value any) bool {
+		value.(*modelQueue).wake() //nolint:forcetypeassert // The map holds nothing else.
+
+		return true
+	})
+}
+
+func (m *modelQueue) wake() {
+	select {
+	case m.wakeUp <- struct{}{}:
+	default:
+	}
+}
+
+// serveInterval is how often a queue looks for targets, and for requests that
+// cannot be answered in time, if nothing wakes it.
+const serveInterval = 20 * time.Millisecond
+
+// serve grants targets to queued requests until the queue is empty.
+func (m *modelQueue) serve() {
+	t := time.NewTicker(serveInterval)
+	defer t.Stop()
+
+	for m.serveOnce() {
+		select {
+		case <-m.wakeUp:
+		case <-t.C:
+		}
+	}
+}
+
+// serveOnce grants available targets and refuses requests that cannot be
+// answered. It reports whether requests are still queued.
+func (m *modelQueue) serveOnce() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+
+	now := time.Now()
+
+	m.refuseDenied()
+	m.refuseLate(now)
+
+	for m.q.Len() > 0 && m.grantNext() {
+		m.startRate.record(now)
+	}
+
+	if m.q.Len() == 0 {
+		m.serving = false
+
+		return false
+	}
+
+	return true
+}
+
+// grantNext grants a target to the first queued request that can have one.
+// Requests with special conditions, such as suspects, do not delay the others.
+func (m *modelQueue) grantNext() bool {
+	var t *router.Target
+
+	full, waiting := false, m.q.Len()
+
+	it := m.q.PopFunc(func(it *queue.Item[*waiter]) bool {
+		q := &it.Value.query
+		plain := !q.Suspect && len(q.Exclude) == 0
+
+		if full && plain {
+			return false
+		}
+
+		t = m.choose(q, waiting)
+		if t == nil && len(q.Exclude) > 0 {
+			// No other target accepts the request, so the one that failed may
+			// be used again.
+			q.Exclude = nil
+			t = m.choose(q, waiting)
+		}
+
+		full = full || t == nil && plain
+
+		return t != nil
+	})
+	if it == nil {
+		return false
+	}
+
+	it.Value.granted <- grant{target: t}
+
+	return true
+}
+
+// refuseDenied refuses queued requests if the cell's lease holder has published
+// that no replica can be loaded. Only a snapshot that arrived after a request
+// refuses it.
+func (m *modelQueue) refuseDenied() {
+	wait, ok := m.d.cfg.Table.Wait(m.model)
+	if !ok || wait.Reason == "" {
+		return
+	}
+
+	at := m.d.cfg.Table.Position(m.d.cfg.CellOf(m.model)).At
+
+	var denied []*queue.Item[*waiter]
+
+	m.q.Each(func(it *queue.Item[*waiter]) {
+		if at.After(it.Value.since) {
+			denied = append(denied, it)
+		}
+	})
+
+	for _, it := range denied {
+		m.q.Remove(it)
+		it.Value.refuse(request.Refuse(codeOf(wait.Reason), wait.RetryAfter, wait.Reason))
+	}
+}
+
+func codeOf(reason string) request.Code {
+	switch reason {
+	case replica.ReasonUnknown:
+		return request.UnknownModel
+	case replica.ReasonBusy, replica.ReasonThrash:
+		return request.Overloaded
+	case replica.ReasonFailing, replica.ReasonTooLarge, replica.ReasonNoTarget:
+		return request.NoTarget
+	}
+
+	return request.StoreDown
+}
+
+// refuseLate refuses requests as soon as they cannot be answered before their
+// deadline, rather than when it passes.
+func (m *modelQueue) refuseLate(now time.Time) {
+	start, code := now, request.DeadlineAhead
+
+	if !router.AnyUsable(m.d.cfg.Table.Targets(m.model)) {
+		if wait, ok := m.modelWait(); ok {
+			at := m.d.cfg.Table.Position(m.d.cfg.CellOf(m.model)).At
+			start, code = at.Add(wait.Ready), request.TooCold
+		}
+	}
+
+	if start.Before(now) {
+		start = now
+	}
+
+	for _, it := range m.q.RemoveLate(start) {
+		retry := max(start.Sub(now), m.drainTime())
+		it.Value.refuse(request.Refuse(code, retry, "it could not be answered before its deadline"))
+	}
+}
+
+// modelWait returns the published Wait of the queue's model, or else of the
+// model that must be loaded first.
+func (m *modelQueue) modelWait() (router.Wait, bool) {
+	wait, ok := m.d.cfg.Table.Wait(m.model)
+	if ok || m.d.cfg.Needs == nil {
+		return wait, ok
+	}
+
+	return m.d.cfg.Table.Wait(m.d.cfg.Needs(m.model))
+}
+
+func (m *modelQueue) demand(model string) (replica.Demand, bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+
+	now := time.Now()
+	d := replica.Demand{Model: model, Waiting: m.q.Len(), Arrived: int(m.arrived.Swap(0))}
+
+	m.q.Each(func(it *queue.Item[*waiter]) {
+		req := it.Value.req
+
+		if d.Plan == "" || req.Priority > d.Priority {
+			d.Plan, d.Priority = req.Plan, req.Priority
+		}
+
+		d.Deadline = replica.Soonest(d.Deadline, it.Deadline)
+
+		if req.Goal.After(now) {
+			d.Goal = replica.Soonest(d.Goal, req.Goal)
+		}
+	})
+
+	return d, d.Waiting > 0 || d.Arrived > 0
+}
+
+func (m *modelQueue) countPlans(n map[string]int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+
+	m.q.Each(func(it *queue.Item[*waiter]) { n[it.Value.req.Plan]++ })
+}
+
+func (m *modelQueue) refuseWaiting(why func(*request.Request) *request.Refusal) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+
+	refusals := make(map[*queue.Item[*waiter]]*request.Refusal)
+
+	m.q.Each(func(it *queue.Item[*waiter]) {
+		if r := why(it.Value.req); r != nil {
+			refusals[it] = r
+		}
+	})
+
+	for it, r := range refusals {
+		m.q.Remove(it)
+		it.Value.refuse(r)
+	}
+}
--- a/internal/serving/dispatch/watch.go
+++ b/internal/serving/dispatch/watch.go
@@ -6,47 +6,48 @@
 	"time"
 )
 
-// silentError says that a stream was silent for longer than is normal.
-type silentError struct{ err error }
+// stallError says that a stream was silent for longer than is normal for its
+// model.
+type stallError struct{ err error }
 
-func (e *silentError) Error() string { return "stream went silent: " + e.err.Error() }
+func (e *stallError) Error() string { return "stream stalled: " + e.err.Error() }
 
-func (e *silentError) Unwrap() error { return e.err }
+func (e *stallError) Unwrap() error { return e.err }
 
-// watch cancels a sending that stays silent for too long.
+// stallTimer cancels an attempt whose stream is silent for too long.
 //
-// It guards against a connection that goes silent for good while new ones
-// work: without it the request would hang until its deadline.
-type watch struct {
-	ctx    context.Context //nolint:containedctx // The watch is the context's owner.
-	cancel context.CancelFunc
-	timer  *time.Timer
-	silent atomic.Bool
+// A connection may stop carrying data for good while new connections work.
+// Without the timer the request would then hang until its deadline.
+type stallTimer struct {
+	ctx     context.Context //nolint:containedctx // The timer owns the context.
+	cancel  context.CancelFunc
+	timer   *time.Timer
+	stalled atomic.Bool
 }
 
-func newWatch(ctx context.Context, bound time.Duration) *watch {
-	w := &watch{}
-	w.ctx, w.cancel = context.WithCancel(ctx)
-	w.timer = time.AfterFunc(bound, func() {
-		w.silent.Store(true)
-		w.cancel()
+func newStallTimer(ctx context.Context, bound time.Duration) *stallTimer {
+	t := &stallTimer{}
+	t.ctx, t.cancel = context.WithCancel(ctx)
+	t.timer = time.AfterFunc(bound, func() {
+		t.stalled.Store(true)
+		t.cancel()
 	})
 
-	return w
+	return t
 }
 
-func (w *watch) pause() { w.timer.Stop() }
+func (t *stallTimer) pause() { t.timer.Stop() }
 
-func (w *watch) expect(bound time.Duration) { w.timer.Reset(bound) }
+func (t *stallTimer) reset(bound time.Duration) { t.timer.Reset(bound) }
 
-func (w *watch) stop() {
-	w.timer.Stop()
-	w.cancel()
+func (t *stallTimer) stop() {
+	t.timer.Stop()
+	t.cancel()
 }
 
-func (w *watch) explain(err error) error {
-	if w.silent.Load() {
-		return &silentError{err}
+func (t *stallTimer) wrap(err error) error {
+	if t.stalled.Load() {
+		return &stallError{err}
 	}
 
 	return err
