--- a/internal/fleet/entry/members.go
+++ b/internal/fleet/entry/members.go
@@ -99,7 +99,7 @@
 			continue
 		}
 
-		if t := e.table.Target(in.ID); t != nil && t.Leave() {
+		if t := e.table.Target(in.ID); t != nil && t.MarkLeaving() {
 			e.noticed(dispatch.Notice{Leaving: in.ID})
 		}
 	}
@@ -205,7 +205,7 @@
 // take acts on what a peer has noticed.
 func (e *Entry) take(n wire.Notice) {
 	for _, id := range n.Leaving {
-		if t := e.table.Target(id); t != nil && t.Leave() {
+		if t := e.table.Target(id); t != nil && t.MarkLeaving() {
 			e.log.Add(timeline.Event{Kind: timeline.TargetLeaving, Target: id, Detail: "from a peer"})
 		}
 	}
@@ -216,7 +216,7 @@
 
 	for _, d := range n.Dead {
 		if t := e.table.Target(d.Target); t != nil {
-			t.Died(d.Incarnation, time.Now())
+			t.MarkDead(d.Incarnation, time.Now())
 		}
 	}
 }
--- a/internal/fleet/node/routing.go
+++ b/internal/fleet/node/routing.go
@@ -195,7 +195,7 @@
 	for id, t := range r.targets {
 		if t.number != s.Number {
 			remove(s, id, t.keys)
-			s.Gone = append(s.Gone, id)
+			s.RemovedTargets = append(s.RemovedTargets, id)
 			delete(r.targets, id)
 		}
 	}
@@ -257,9 +257,9 @@
 		s = nil
 	}
 
-	info.Count = b.count
+	info.CountID = b.count
 	if s != nil {
-		info.Running, info.Lines = s.Running, s.Lines
+		info.Running, info.WaitingEntries = s.Running, s.Lines
 	}
 
 	b.snapshot.Targets = append(b.snapshot.Targets, info)
@@ -378,7 +378,7 @@
 
 // foundMoved notes that another instance has a target's address.
 func (n *Node) foundMoved(t *router.Target) {
-	if t.Leave() {
+	if t.MarkLeaving() {
 		n.cfg.Log.Warn().Str("target", string(t.ID)).Stringer("address", t.Address).Msg("address belongs to another target")
 	}
 }
--- a/internal/measure/figure/capacity.go
+++ b/internal/measure/figure/capacity.go
@@ -137,7 +137,7 @@
 	for i := range out {
 		out[i] = router.TargetInfo{
 			ID: id("target", i), DataCentre: "centre-a", Address: netip.MustParseAddrPort("10.1.2.3:7200"), Speed: 2,
-			Memory: 80e9, Held: 60e9, Slots: 8, Running: 5, ReportAge: 300 * time.Millisecond,
+			Memory: 80e9, ReservedMemory: 60e9, Slots: 8, Running: 5, ReportAge: 300 * time.Millisecond,
 			Incarnation: "0f8fad5b-d9cb-469f-a165-70867728950e",
 		}
 	}
--- a/internal/placement/cell/publish.go
+++ b/internal/placement/cell/publish.go
@@ -69,19 +69,19 @@
 
 	for id, e := range t.targets {
 		infos[id] = router.TargetInfo{
-			ID:          id,
-			DataCentre:  e.DataCentre,
-			Address:     e.Address,
-			Speed:       e.inventory.Speed,
-			Memory:      e.inventory.Memory,
-			Held:        t.ledger.UsedBytes(id),
-			Slots:       e.report.Slots,
-			Running:     e.report.Running,
-			Waiting:     e.report.Waiting,
-			ReportAge:   max(0, now.Sub(e.reportAt), now.Sub(e.inventoryAt)),
-			Leaving:     e.State == instance.Leaving,
-			Down:        now.Sub(e.answeredAt) > downAfter,
-			Incarnation: e.inventory.Incarnation,
+			ID:             id,
+			DataCentre:     e.DataCentre,
+			Address:        e.Address,
+			Speed:          e.inventory.Speed,
+			Memory:         e.inventory.Memory,
+			ReservedMemory: t.ledger.UsedBytes(id),
+			Slots:          e.report.Slots,
+			Running:        e.report.Running,
+			Waiting:        e.report.Waiting,
+			ReportAge:      max(0, now.Sub(e.reportAt), now.Sub(e.inventoryAt)),
+			Leaving:        e.State == instance.Leaving,
+			Down:           now.Sub(e.answeredAt) > downAfter,
+			Incarnation:    e.inventory.Incarnation,
 		}
 	}
 
@@ -137,7 +137,7 @@
 
 	for id := range old.targets {
 		if _, ok := next.targets[id]; !ok {
-			s.Gone = append(s.Gone, id)
+			s.RemovedTargets = append(s.RemovedTargets, id)
 		}
 	}
 
--- a/internal/room/board/board.go
+++ b/internal/room/board/board.go
@@ -301,7 +301,7 @@
 	p := Promise{Name: "memory is never overcommitted", Kept: true}
 
 	for _, t := range b.Targets {
-		if t.Memory > 0 && t.Held > t.Memory {
+		if t.Memory > 0 && t.ReservedMemory > t.Memory {
 			p.Kept = false
 			p.Detail += string(t.ID) + " "
 		}
--- a/internal/serving/dispatch/acquire.go
+++ b/internal/serving/dispatch/acquire.go
@@ -25,8 +25,8 @@
 }
 
 // Standing counts the targets that hold a model by their state.
-func (d *Dispatcher) Standing(model string) router.Standing {
-	return router.Stand(d.cfg.Table.Targets(model), &router.Query{Entries: d.cfg.Entries(), Now: time.Now()})
+func (d *Dispatcher) Standing(model string) router.StateCounts {
+	return router.CountStates(d.cfg.Table.Targets(model), &router.Query{Entries: d.cfg.Entries(), Now: time.Now()})
 }
 
 // Return releases a target that Acquire has returned.
--- a/internal/serving/dispatch/dispatch_test.go
+++ b/internal/serving/dispatch/dispatch_test.go
@@ -216,7 +216,7 @@
 	"target leaves mid-answer": {engines: 2, during: func(b *fixture) {
 		for _, e := range b.engines {
 			if _, running := e.Use(); running > 0 {
-				b.table.Target(e.ID()).Leave()
+				b.table.Target(e.ID()).MarkLeaving()
 				time.AfterFunc(50*time.Millisecond, e.Stop)
 			}
 		}
--- a/internal/serving/dispatch/failure.go
+++ b/internal/serving/dispatch/failure.go
@@ -105,7 +105,7 @@
 	case errors.Is(err, errMigrate):
 		return nil
 	case errors.As(err, &leaving):
-		if t.Leave() {
+		if t.MarkLeaving() {
 			f.cfg.Noticed(Notice{Leaving: t.ID})
 		}
 
@@ -114,7 +114,7 @@
 		return nil
 	}
 
-	t.Failed(time.Now())
+	t.RecordFailure(time.Now())
 
 	alive := f.probe(ctx, t)
 
@@ -166,7 +166,7 @@
 		return nil
 	}
 
-	if t.Died(f.incarnation, time.Now()) {
+	if t.MarkDead(f.incarnation, time.Now()) {
 		f.cfg.Metrics.Counter("targetsFoundDead").Inc(1)
 		f.cfg.Noticed(Notice{Dead: death})
 	}
--- a/internal/serving/dispatch/forwarder.go
+++ b/internal/serving/dispatch/forwarder.go
@@ -154,7 +154,7 @@
 
 	number := f.attempts.Send()
 	sent := time.Now()
-	load := t.Own()
+	load := t.InFlight()
 
 	s, err := f.cfg.Engine(t).Generate(stall.ctx, target.Generation{
 		RequestID: f.req.EngineID,
@@ -183,7 +183,7 @@
 	f.attempts.Learn(number, request.Completed)
 
 	if tokens > 0 {
-		t.Succeeded(f.attemptFirstToken, load)
+		t.RecordSuccess(f.attemptFirstToken, load)
 	}
 
 	return nil
--- a/internal/serving/dispatch/overload_test.go
+++ b/internal/serving/dispatch/overload_test.go
@@ -67,7 +67,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t, 1)
 		b.cfg.Needs = func(string) string { return "base" }
-		b.table.Targets(model)[0].Leave()
+		b.table.Targets(model)[0].MarkLeaving()
 		b.publish(router.Wait{Model: "base", Ready: 30 * time.Second})
 
 		began := time.Now()
--- a/internal/serving/relay/deliver.go
+++ b/internal/serving/relay/deliver.go
@@ -131,14 +131,14 @@
 // cannot accept it.
 func (d *delivery) logWaiting() {
 	s := d.Dispatcher.Standing(d.req.Model)
-	d.Log.Info().Str("id", d.info.ID).Str("key", d.req.Model).Int("holders", s.Holders).Int("full", s.Full).
+	d.Log.Info().Str("id", d.info.ID).Str("key", d.req.Model).Int("holders", s.Targets).Int("full", s.Full).
 		Int("leaving", s.Leaving).Int("dead", s.Dead).Int("ejected", s.Ejected).Msg("request waits")
 }
 
 // logChoice logs the chosen target and the figures behind the choice.
 func (d *delivery) logChoice(t *router.Target) {
 	info := t.Info()
-	d.Log.Info().Str("id", d.info.ID).Str("key", d.req.Model).Str("target", string(t.ID)).Int("own", t.Own()).
+	d.Log.Info().Str("id", d.info.ID).Str("key", d.req.Model).Str("target", string(t.ID)).Int("own", t.InFlight()).
 		Int("running", info.Running).Int("slots", info.Slots).Dur("age", t.ReportAge(time.Now())).Msg("target chosen")
 }
 
@@ -286,7 +286,7 @@
 // markUnreachable keeps requests away from a target that cannot be reached.
 func (d *delivery) markUnreachable(t *router.Target) {
 	now := time.Now()
-	t.Failed(now)
+	t.RecordFailure(now)
 
 	if d.recordDeath(t, t.Info().Incarnation, now) {
 		d.Log.Warn().Str("target", string(t.ID)).Msg("target not reached")
@@ -296,7 +296,7 @@
 // recordDeath records that a target's process accepts no connection. If that was
 // unknown before, it calls the server's callback and returns true.
 func (d *delivery) recordDeath(t *router.Target, incarnation string, now time.Time) bool {
-	if !t.Died(incarnation, now) {
+	if !t.MarkDead(incarnation, now) {
 		return false
 	}
 
@@ -340,7 +340,7 @@
 		return err
 	}
 
-	t.Failed(time.Now())
+	t.RecordFailure(time.Now())
 
 	if !connectionBroken(err) {
 		return err
@@ -433,7 +433,7 @@
 	}
 
 	d.firstByte = time.Since(d.arrived)
-	t.Succeeded(time.Since(sent), t.Own())
+	t.RecordSuccess(time.Since(sent), t.InFlight())
 	whole.write(d)
 
 	return nil
--- a/internal/serving/relay/pass.go
+++ b/internal/serving/relay/pass.go
@@ -84,7 +84,7 @@
 		d.firstByte = time.Since(d.arrived)
 	}
 
-	t.Succeeded(time.Since(sent), t.Own())
+	t.RecordSuccess(time.Since(sent), t.InFlight())
 }
 
 // endStream handles the end of a stream, which is complete or cut off.
--- a/internal/serving/router/choose.go
+++ b/internal/serving/router/choose.go
@@ -195,15 +195,15 @@
 	return slices.ContainsFunc(targets, func(t *Target) bool { return !t.Leaving() && !t.Dead() })
 }
 
-// Standing counts the targets that hold a model and, by reason, those that
+// StateCounts counts the targets that hold a model and, by reason, those that
 // accept no request.
-type Standing struct {
-	Holders, Full, Leaving, Dead, Ejected int
+type StateCounts struct {
+	Targets, Full, Leaving, Dead, Ejected int
 }
 
-// Stand counts the targets by their state.
-func Stand(targets []*Target, q *Query) Standing {
-	s := Standing{Holders: len(targets)}
+// CountStates counts the targets by their state.
+func CountStates(targets []*Target, q *Query) StateCounts {
+	s := StateCounts{Targets: len(targets)}
 
 	for _, t := range targets {
 		switch t.availability(q, false) {
@@ -283,8 +283,8 @@
 	switch {
 	case waiting == 0:
 		return min(entries, maxCompetitors)
-	case info.Lines > 0:
-		return min(entries, max(maxCompetitors, info.Lines))
+	case info.WaitingEntries > 0:
+		return min(entries, max(maxCompetitors, info.WaitingEntries))
 	default:
 		return entries
 	}
@@ -367,10 +367,10 @@
 	maxEjection     = 30 * time.Second
 )
 
-// Failed records that a request failed through the target's fault. Otherwise a
+// RecordFailure records that a request failed through the target's fault. Otherwise a
 // target that fails every request immediately would look like the fastest one and
 // attract traffic.
-func (t *Target) Failed(now time.Time) {
+func (t *Target) RecordFailure(now time.Time) {
 	n := t.failures.Add(1)
 	if n < failuresToEject {
 		return
@@ -386,10 +386,10 @@
 	at          time.Time
 }
 
-// Died records that an incarnation of the target was found dead at now. No
-// requests are sent to it until a new incarnation or a later report appears. Died
+// MarkDead records that an incarnation of the target was found dead at now. No
+// requests are sent to it until a new incarnation or a later report appears. MarkDead
 // returns false if the death is already recorded.
-func (t *Target) Died(incarnation string, now time.Time) bool {
+func (t *Target) MarkDead(incarnation string, now time.Time) bool {
 	old := t.dead.Load()
 	if old != nil && old.incarnation == incarnation && t.Dead() {
 		return false
@@ -420,9 +420,9 @@
 	return t.reportedAt.Load() < d.at.Add(deathOverride).UnixNano()
 }
 
-// Succeeded records a complete answer, its time to first token and the load under
+// RecordSuccess records a complete answer, its time to first token and the load under
 // which it was sent. Only complete answers count towards the target's speed.
-func (t *Target) Succeeded(firstToken time.Duration, load int) {
+func (t *Target) RecordSuccess(firstToken time.Duration, load int) {
 	t.failures.Store(0)
 
 	slots := max(1, t.Info().Slots)
--- a/internal/serving/router/load_test.go
+++ b/internal/serving/router/load_test.go
@@ -46,7 +46,7 @@
 
 		// Each request runs for about a second.
 		for _, table := range tables {
-			for target := table.Target("t"); target.Own() > 0 && r.IntN(10) == 0; running-- {
+			for target := table.Target("t"); target.InFlight() > 0 && r.IntN(10) == 0; running-- {
 				target.End(false)
 			}
 		}
@@ -120,8 +120,8 @@
 		for _, table := range tables {
 			for _, id := range ids {
 				target := table.Target(id)
-				for target.Own() > 0 {
-					target.Succeeded(time.Duration(80+r.IntN(20))*time.Millisecond, target.Own())
+				for target.InFlight() > 0 {
+					target.RecordSuccess(time.Duration(80+r.IntN(20))*time.Millisecond, target.InFlight())
 					target.End(false)
 				}
 			}
@@ -175,7 +175,7 @@
 
 		// A third of the requests end before the next report.
 		for _, table := range tables {
-			for target, n := table.Target("t"), table.Target("t").Own(); n > 0; n-- {
+			for target, n := table.Target("t"), table.Target("t").InFlight(); n > 0; n-- {
 				if r.IntN(3) == 0 {
 					target.End(false)
 
@@ -220,7 +220,7 @@
 	for number := range uint64(50) {
 		table.Apply(&Snapshot{
 			Token: 1, Number: 1 + number, Added: []Replica{{Target: "t", Model: "m"}},
-			Targets: []TargetInfo{{ID: "t", Slots: 32, Speed: 1, Count: 1 + number/25}},
+			Targets: []TargetInfo{{ID: "t", Slots: 32, Speed: 1, CountID: 1 + number/25}},
 		}, now)
 
 		for {
@@ -257,7 +257,7 @@
 			now := time.Unix(1000, 0)
 			table.Apply(&Snapshot{
 				Token: 1, Number: 1, Added: []Replica{{Target: "t", Model: "m"}},
-				Targets: []TargetInfo{{ID: "t", Slots: 12, Speed: 1, Lines: tc.lines}},
+				Targets: []TargetInfo{{ID: "t", Slots: 12, Speed: 1, WaitingEntries: tc.lines}},
 			}, now)
 
 			begun := 0
--- a/internal/serving/router/router_test.go
+++ b/internal/serving/router/router_test.go
@@ -68,7 +68,7 @@
 	old.Begin(false)
 
 	delta := &Snapshot{
-		Token: 2, Number: 6, Base: 5, Targets: []TargetInfo{info(3)}, Gone: []instance.ID{"t2"},
+		Token: 2, Number: 6, Base: 5, Targets: []TargetInfo{info(3)}, RemovedTargets: []instance.ID{"t2"},
 		Removed: []Replica{{"t2", "a"}, {"t2", "b"}}, Added: []Replica{{"t3", "b"}, {"t1", "a"}},
 		Waits: []Wait{{Model: "c", Reason: "why"}},
 	}
@@ -164,13 +164,13 @@
 
 			t.Begin(true)
 		}},
-		"found dead": {info: info(1), prep: func(t *Target, _ *Query) { t.Died("i", now) }},
+		"found dead": {info: info(1), prep: func(t *Target, _ *Query) { t.MarkDead("i", now) }},
 		"an earlier incarnation was found dead": {
-			info: info(1), prep: func(t *Target, _ *Query) { t.Died("h", now) }, want: true,
+			info: info(1), prep: func(t *Target, _ *Query) { t.MarkDead("h", now) }, want: true,
 		},
 		"the only one, ejected": {info: info(1), prep: func(t *Target, _ *Query) {
 			for range failuresToEject {
-				t.Failed(now)
+				t.RecordFailure(now)
 			}
 		}, want: true},
 	} {
@@ -209,7 +209,7 @@
 	bad := table.Target("t1")
 
 	for range failuresToEject {
-		bad.Failed(now)
+		bad.RecordFailure(now)
 	}
 
 	for range 100 {
@@ -328,9 +328,9 @@
 		free[at][slot] = begin.Add(took)
 		firsts = append(firsts, begin.Sub(clock)+took/2)
 
-		inFlight := t.Own()
+		inFlight := t.InFlight()
 		t.Begin(false)
-		t.Succeeded(begin.Sub(clock)+took/2, inFlight)
+		t.RecordSuccess(begin.Sub(clock)+took/2, inFlight)
 
 		busy[at]++
 
@@ -351,7 +351,7 @@
 func random(targets []*Target, _ *Query) *Target { return targets[rand.IntN(len(targets))] }
 
 func leastOwn(targets []*Target, _ *Query) *Target {
-	return slices.MinFunc(targets, func(a, b *Target) int { return a.Own() - b.Own() })
+	return slices.MinFunc(targets, func(a, b *Target) int { return a.InFlight() - b.InFlight() })
 }
 
 func roundRobin() func([]*Target, *Query) *Target {
--- a/internal/serving/router/table.go
+++ b/internal/serving/router/table.go
@@ -25,20 +25,20 @@
 	Address    netip.AddrPort
 	Speed      float64
 	Memory     int64
-	// Held is the memory that the ledger has reserved on the target.
-	Held    int64
-	Slots   int
-	Running int
-	Waiting int
-	// Lines is the upper bound of the number of entries with queued requests for
+	// ReservedMemory is the memory that the ledger has reserved on the target.
+	ReservedMemory int64
+	Slots          int
+	Running        int
+	Waiting        int
+	// WaitingEntries is the upper bound of the number of entries with queued requests for
 	// one of the target's models. Zero means unknown.
-	Lines int
+	WaitingEntries int
 	// ReportAge is the age of the report when it was published.
 	ReportAge time.Duration
-	// Count identifies the count that Running comes from, so that one count
+	// CountID identifies the count that Running comes from, so that one count
 	// published twice is recognised. Zero means that each publication has a new
 	// count.
-	Count   uint64
+	CountID uint64
 	Leaving bool
 	// Down says that the lease holder cannot reach the target.
 	Down bool
@@ -79,8 +79,8 @@
 	Base uint64
 	// Targets lists the targets that changed since Base.
 	Targets []TargetInfo
-	// Gone lists the targets that the cell has lost since Base.
-	Gone []instance.ID
+	// RemovedTargets lists the targets that the cell has lost since Base.
+	RemovedTargets []instance.ID
 	// Added and Removed are the changes to the ready replicas since Base.
 	Added, Removed []Replica
 	// Waits lists all models with queued requests, also in a delta.
@@ -129,14 +129,14 @@
 	return TargetInfo{ID: t.ID}
 }
 
-// Leave marks the target as leaving. It returns false if it was marked already.
-func (t *Target) Leave() bool { return t.leaving.CompareAndSwap(false, true) }
+// MarkLeaving marks the target as leaving. It returns false if it was marked already.
+func (t *Target) MarkLeaving() bool { return t.leaving.CompareAndSwap(false, true) }
 
 // Leaving reports whether the target is leaving and accepts no new requests.
 func (t *Target) Leaving() bool { return t.leaving.Load() }
 
-// Own returns the number of this entry's requests in flight on the target.
-func (t *Target) Own() int { return int(t.inFlight.Load()) }
+// InFlight returns the number of this entry's requests in flight on the target.
+func (t *Target) InFlight() int { return int(t.inFlight.Load()) }
 
 // Table is the routing table. The zero value is empty.
 type Table struct {
@@ -290,7 +290,7 @@
 		next.addReplica(r)
 	}
 
-	for _, id := range s.Gone {
+	for _, id := range s.RemovedTargets {
 		next.targets = next.targets.Delete(id)
 		delete(targets, id)
 	}
@@ -360,7 +360,7 @@
 	// publication of the same count reset inFlightAtReport, entries could use the
 	// target's free slots again each time. After a power loss a few targets would
 	// then get all requests of a model until there is a new count.
-	if old != nil && info.Count != 0 && info.Count == old.Count {
+	if old != nil && info.CountID != 0 && info.CountID == old.CountID {
 		return
 	}
 
--- a/internal/wire/board/board.go
+++ b/internal/wire/board/board.go
@@ -146,7 +146,7 @@
 		DataCentre: string(t.DataCentre),
 		Speed:      t.Speed,
 		Memory:     t.Memory,
-		Held:       t.Held,
+		Held:       t.ReservedMemory,
 		Slots:      t.Slots,
 		Running:    t.Running,
 		Waiting:    t.Waiting,
--- a/internal/wire/peer/peer_test.go
+++ b/internal/wire/peer/peer_test.go
@@ -127,9 +127,9 @@
 	assert.DeepEqual(t, got, status)
 
 	snapshot := &router.Snapshot{
-		Cell: 1, Holder: "h", Token: 2, Number: 3, Base: 2, Gone: []instance.ID{"g"},
+		Cell: 1, Holder: "h", Token: 2, Number: 3, Base: 2, RemovedTargets: []instance.ID{"g"},
 		Targets: []router.TargetInfo{{
-			ID: "t", DataCentre: "d", Address: netip.MustParseAddrPort("10.0.0.1:7"), Speed: 1.5, Memory: 1, Held: 2,
+			ID: "t", DataCentre: "d", Address: netip.MustParseAddrPort("10.0.0.1:7"), Speed: 1.5, Memory: 1, ReservedMemory: 2,
 			Slots: 3, Running: 4, Waiting: 5, ReportAge: 6 * time.Millisecond, Leaving: true, Down: true, Incarnation: "i",
 		}},
 		Added: []router.Replica{{Target: "t", Model: "m"}}, Removed: []router.Replica{{Target: "u", Model: "n"}},
--- a/internal/wire/peer/routing.go
+++ b/internal/wire/peer/routing.go
@@ -69,7 +69,7 @@
 		Token:   s.Token,
 		Number:  s.Number,
 		Base:    s.Base,
-		Gone:    fromIDs(s.Gone),
+		Gone:    fromIDs(s.RemovedTargets),
 		Added:   fromReplicas(s.Added),
 		Removed: fromReplicas(s.Removed),
 	}
@@ -81,7 +81,7 @@
 			Address:     t.Address.String(),
 			Speed:       t.Speed,
 			Memory:      t.Memory,
-			Held:        t.Held,
+			Held:        t.ReservedMemory,
 			Slots:       t.Slots,
 			Running:     t.Running,
 			Waiting:     t.Waiting,
@@ -108,14 +108,14 @@
 // ToSnapshot maps a snapshot from the wire.
 func ToSnapshot(s Snapshot) (*router.Snapshot, error) {
 	out := &router.Snapshot{
-		Cell:    s.Cell,
-		Holder:  instance.ID(s.Holder),
-		Token:   s.Token,
-		Number:  s.Number,
-		Base:    s.Base,
-		Gone:    toIDs(s.Gone),
-		Added:   toReplicas(s.Added),
-		Removed: toReplicas(s.Removed),
+		Cell:           s.Cell,
+		Holder:         instance.ID(s.Holder),
+		Token:          s.Token,
+		Number:         s.Number,
+		Base:           s.Base,
+		RemovedTargets: toIDs(s.Gone),
+		Added:          toReplicas(s.Added),
+		Removed:        toReplicas(s.Removed),
 	}
 
 	for _, t := range s.Targets {
@@ -125,19 +125,19 @@
 		}
 
 		out.Targets = append(out.Targets, router.TargetInfo{
-			ID:          instance.ID(t.ID),
-			DataCentre:  instance.DataCentre(t.DataCentre),
-			Address:     addr,
-			Speed:       t.Speed,
-			Memory:      t.Memory,
-			Held:        t.Held,
-			Slots:       t.Slots,
-			Running:     t.Running,
-			Waiting:     t.Waiting,
-			ReportAge:   milliseconds(t.ReportAgeMs),
-			Leaving:     t.Leaving,
-			Down:        t.Down,
-			Incarnation: t.Incarnation,
+			ID:             instance.ID(t.ID),
+			DataCentre:     instance.DataCentre(t.DataCentre),
+			Address:        addr,
+			Speed:          t.Speed,
+			Memory:         t.Memory,
+			ReservedMemory: t.Held,
+			Slots:          t.Slots,
+			Running:        t.Running,
+			Waiting:        t.Waiting,
+			ReportAge:      milliseconds(t.ReportAgeMs),
+			Leaving:        t.Leaving,
+			Down:           t.Down,
+			Incarnation:    t.Incarnation,
 		})
 	}
 
