--- a/internal/fleet/entry/members.go
+++ b/internal/fleet/entry/members.go
@@ -152,7 +152,7 @@
 		Draining:    e.draining.Load(),
 		Ready:       e.Ready(),
 		ListVersion: e.lists.Current().Version(),
-		Poisoned:    e.dispatch.Blocked(),
+		Poisoned:    e.dispatch.BlockedFingerprints(),
 		Plans:       e.gateway.Counts(),
 		Clock:       e.log.Clock.Now(),
 	}
@@ -303,7 +303,7 @@
 
 	ok := e.table.Apply(s, time.Now())
 	if ok {
-		e.dispatch.Kick()
+		e.dispatch.WakeQueues()
 	}
 
 	if s.Holder != holder || len(s.Removed) > 0 {
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -166,8 +166,8 @@
 	n.cfg.Table = countedTable{cfg.Table, n.noteTable}
 	n.lines = dispatch.New(dispatch.Config{
 		Table: &n.targets, Entries: n.entries, CellOf: func(string) int { return 0 },
-		Needs:    holder.ModelOf,
-		Demanded: func(string) { poke(n.asked) }, Idle: func() { poke(n.idled) }, Noticed: n.noticed, MaxWaiting: maxWaiting,
+		Prerequisite: holder.ModelOf,
+		OnQueued:     func(string) { poke(n.asked) }, OnReplicaIdle: func() { poke(n.idled) }, OnNotice: n.noticed, MaxWaiting: maxWaiting,
 	})
 	n.relay = &relay.Server{
 		Protocol: cfg.Protocol, Dispatcher: n.lines, Pool: &n.pool, Budgets: &n.budgets,
--- a/internal/fleet/node/routing.go
+++ b/internal/fleet/node/routing.go
@@ -98,7 +98,7 @@
 
 	n.routed.finish(&b.snapshot)
 	n.targets.Apply(&b.snapshot, now)
-	n.lines.Kick()
+	n.lines.WakeQueues()
 
 	return max(time.Millisecond, b.next.Sub(now))
 }
--- a/internal/serving/dispatch/acquire.go
+++ b/internal/serving/dispatch/acquire.go
@@ -24,36 +24,36 @@
 	return t, cold, err
 }
 
-// Standing counts the targets that hold a model by their state.
-func (d *Dispatcher) Standing(model string) router.StateCounts {
+// TargetStates counts the targets that hold a model by their state.
+func (d *Dispatcher) TargetStates(model string) router.StateCounts {
 	return router.CountStates(d.cfg.Table.Targets(model), &router.Query{Entries: d.cfg.Entries(), Now: time.Now()})
 }
 
-// Return releases a target that Acquire has returned.
-func (d *Dispatcher) Return(t *router.Target, req *request.Request, suspect bool) {
+// Release releases a target that Acquire has returned.
+func (d *Dispatcher) Release(t *router.Target, req *request.Request, suspect bool) {
 	u := d.useOf(t, req.Model)
 	left := u.running.Add(-1)
 	u.served.Add(1)
 	t.End(suspect)
 	d.queueOf(req.Model).wake()
 
-	if left == 0 && d.cfg.Idle != nil {
-		d.cfg.Idle()
+	if left == 0 && d.cfg.OnReplicaIdle != nil {
+		d.cfg.OnReplicaIdle()
 	}
 }
 
-// Stopped reports whether the request is blocked because it crashes targets,
+// IsBlocked reports whether the request is blocked because it crashes targets,
 // and for how much longer.
-func (d *Dispatcher) Stopped(fp request.Fingerprint) (time.Duration, bool) { return d.isBlocked(fp) }
+func (d *Dispatcher) IsBlocked(fp request.Fingerprint) (time.Duration, bool) { return d.isBlocked(fp) }
 
-// Suspect reports whether a target died recently while it ran the request.
-func (d *Dispatcher) Suspect(fp request.Fingerprint) bool { return d.isSuspect(fp) }
+// IsSuspect reports whether a target died recently while it ran the request.
+func (d *Dispatcher) IsSuspect(fp request.Fingerprint) bool { return d.isSuspect(fp) }
 
-// Died records that a target died while it ran the request. It reports whether
+// RecordDeath records that a target died while it ran the request. It reports whether
 // the request is now blocked.
-func (d *Dispatcher) Died(fp request.Fingerprint, death crash.Death) bool {
+func (d *Dispatcher) RecordDeath(fp request.Fingerprint, death crash.Death) bool {
 	return d.recordDeath(fp, death)
 }
 
-// Cleared removes a suspect's record, because it ran to its end.
-func (d *Dispatcher) Cleared(fp request.Fingerprint) { d.clearSuspect(fp) }
+// ClearSuspect removes a suspect's record, because it ran to its end.
+func (d *Dispatcher) ClearSuspect(fp request.Fingerprint) { d.clearSuspect(fp) }
--- a/internal/serving/dispatch/dispatch.go
+++ b/internal/serving/dispatch/dispatch.go
@@ -42,19 +42,19 @@
 	Entries func() int
 	// CellOf returns the cell whose lease holder decides on the model.
 	CellOf func(model string) int
-	// Needs returns the model that must be loaded before this one, such as the
+	// Prerequisite returns the model that must be loaded before this one, such as the
 	// base model of an adapter. It may be nil.
-	Needs func(model string) string
-	// Demanded is called when a request is queued because no replica of its
+	Prerequisite func(model string) string
+	// OnQueued is called when a request is queued because no replica of its
 	// model accepts it.
-	Demanded func(model string)
-	// Idle is called when the last of this entry's requests on a replica has
+	OnQueued func(model string)
+	// OnReplicaIdle is called when the last of this entry's requests on a replica has
 	// ended, since the replica may then be evicted. It may be nil.
-	Idle func()
-	// Noticed is called with events that all entries must receive at once.
-	Noticed func(Notice)
-	Log     *timeline.Log
-	Metrics tally.Scope
+	OnReplicaIdle func()
+	// OnNotice is called with events that all entries must receive at once.
+	OnNotice func(Notice)
+	Log      *timeline.Log
+	Metrics  tally.Scope
 	// MaxWaiting bounds the queued requests of one model.
 	MaxWaiting int
 }
@@ -248,8 +248,8 @@
 	return waiting, uses
 }
 
-// Waiting returns the number of queued requests of each plan.
-func (d *Dispatcher) Waiting() map[string]int {
+// QueuedByPlan returns the number of queued requests of each plan.
+func (d *Dispatcher) QueuedByPlan() map[string]int {
 	n := make(map[string]int)
 
 	d.queues.Range(func(_, value any) bool {
@@ -270,8 +270,8 @@
 	d.crashRecords.Store(int64(d.crashes.Len()))
 }
 
-// Blocked returns the blocked fingerprints.
-func (d *Dispatcher) Blocked() []request.Fingerprint {
+// BlockedFingerprints returns the blocked fingerprints.
+func (d *Dispatcher) BlockedFingerprints() []request.Fingerprint {
 	if d.crashRecords.Load() == 0 {
 		return nil
 	}
@@ -316,7 +316,7 @@
 	d.crashMu.Unlock()
 
 	if nowBlocked {
-		d.cfg.Noticed(Notice{Poisoned: fp})
+		d.cfg.OnNotice(Notice{Poisoned: fp})
 	}
 
 	return blocked
--- a/internal/serving/dispatch/dispatch_test.go
+++ b/internal/serving/dispatch/dispatch_test.go
@@ -71,13 +71,13 @@
 		},
 		Entries: func() int { return 1 },
 		CellOf:  func(string) int { return 0 },
-		Demanded: func(string) {
+		OnQueued: func(string) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 
 			b.demanded++
 		},
-		Noticed: func(n Notice) {
+		OnNotice: func(n Notice) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 
@@ -131,7 +131,7 @@
 	b.table.Apply(s, time.Now())
 
 	if b.Dispatcher != nil {
-		b.Kick()
+		b.WakeQueues()
 	}
 }
 
--- a/internal/serving/dispatch/failure.go
+++ b/internal/serving/dispatch/failure.go
@@ -106,7 +106,7 @@
 		return nil
 	case errors.As(err, &leaving):
 		if t.MarkLeaving() {
-			f.cfg.Noticed(Notice{Leaving: t.ID})
+			f.cfg.OnNotice(Notice{Leaving: t.ID})
 		}
 
 		return nil
@@ -168,7 +168,7 @@
 
 	if t.MarkDead(f.incarnation, time.Now()) {
 		f.cfg.Metrics.Counter("targetsFoundDead").Inc(1)
-		f.cfg.Noticed(Notice{Dead: death})
+		f.cfg.OnNotice(Notice{Dead: death})
 	}
 
 	blocked := f.recordDeath(f.req.Fingerprint(), death)
--- a/internal/serving/dispatch/modelqueue.go
+++ b/internal/serving/dispatch/modelqueue.go
@@ -110,7 +110,7 @@
 		return nil, cold, err
 	}
 
-	d.cfg.Demanded(req.Model)
+	d.cfg.OnQueued(req.Model)
 
 	select {
 	case g := <-w.granted:
@@ -228,9 +228,9 @@
 	return m.q.Remove(it)
 }
 
-// Kick makes every queue look for targets immediately, after a change of the
+// WakeQueues makes every queue look for targets immediately, after a change of the
 // routing table.
-func (d *Dispatcher) Kick() {
+func (d *Dispatcher) WakeQueues() {
 	d.queues.Range(func(_, value any) bool {
 		value.(*modelQueue).wake() //nolint:forcetypeassert // The map holds nothing else.
 
@@ -386,11 +386,11 @@
 // model that must be loaded first.
 func (m *modelQueue) modelWait() (router.Wait, bool) {
 	wait, ok := m.d.cfg.Table.Wait(m.model)
-	if ok || m.d.cfg.Needs == nil {
+	if ok || m.d.cfg.Prerequisite == nil {
 		return wait, ok
 	}
 
-	return m.d.cfg.Table.Wait(m.d.cfg.Needs(m.model))
+	return m.d.cfg.Table.Wait(m.d.cfg.Prerequisite(m.model))
 }
 
 func (m *modelQueue) demand(model string) (replica.Demand, bool) {
--- a/internal/serving/dispatch/overload_test.go
+++ b/internal/serving/dispatch/overload_test.go
@@ -66,7 +66,7 @@
 func TestWaitOfPrerequisite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t, 1)
-		b.cfg.Needs = func(string) string { return "base" }
+		b.cfg.Prerequisite = func(string) string { return "base" }
 		b.table.Targets(model)[0].MarkLeaving()
 		b.publish(router.Wait{Model: "base", Ready: 30 * time.Second})
 
@@ -119,7 +119,7 @@
 		assert.Equal(t, len(waiting), 1)
 		assert.Equal(t, waiting[0].Waiting, 3)
 		assert.Assert(t, time.Until(waiting[0].Deadline) <= 20*time.Second)
-		assert.Equal(t, b.Waiting()["p"], 3)
+		assert.Equal(t, b.QueuedByPlan()["p"], 3)
 
 		b.engines = []*engine.Engine{e}
 		b.publish()
@@ -206,7 +206,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t, 1)
 		idle := 0
-		b.cfg.Idle = func() { idle++ }
+		b.cfg.OnReplicaIdle = func() { idle++ }
 
 		req := newRequest("p", 10*time.Second)
 
@@ -216,9 +216,9 @@
 		second, _, err := b.Acquire(t.Context(), req, router.Query{})
 		assert.NilError(t, err)
 
-		b.Return(first, req, false)
+		b.Release(first, req, false)
 		assert.Equal(t, idle, 0, "one still runs")
-		b.Return(second, req, false)
+		b.Release(second, req, false)
 		assert.Equal(t, idle, 1)
 	})
 }
--- a/internal/serving/gateway/gateway.go
+++ b/internal/serving/gateway/gateway.go
@@ -83,7 +83,7 @@
 
 // Counts returns the counts of each plan.
 func (g *Gateway) Counts() []peer.PlanCount {
-	return g.counts.planCounts(g.cfg.Shares, g.cfg.Dispatch.Waiting())
+	return g.counts.planCounts(g.cfg.Shares, g.cfg.Dispatch.QueuedByPlan())
 }
 
 const (
--- a/internal/serving/relay/deliver.go
+++ b/internal/serving/relay/deliver.go
@@ -66,11 +66,11 @@
 		}
 
 		err = d.attempt(ctx, t)
-		d.Dispatcher.Return(t, d.req, d.suspect)
+		d.Dispatcher.Release(t, d.req, d.suspect)
 
 		if err == nil {
 			if d.suspect {
-				d.Dispatcher.Cleared(d.req.Fingerprint())
+				d.Dispatcher.ClearSuspect(d.req.Fingerprint())
 			}
 
 			return nil
@@ -130,7 +130,7 @@
 // logWaiting logs that a request waits and why the targets that hold its model
 // cannot accept it.
 func (d *delivery) logWaiting() {
-	s := d.Dispatcher.Standing(d.req.Model)
+	s := d.Dispatcher.TargetStates(d.req.Model)
 	d.Log.Info().Str("id", d.info.ID).Str("key", d.req.Model).Int("holders", s.Targets).Int("full", s.Full).
 		Int("leaving", s.Leaving).Int("dead", s.Dead).Int("ejected", s.Ejected).Msg("request waits")
 }
@@ -360,7 +360,7 @@
 	d.recordDeath(t, incarnation, time.Now())
 	d.Log.Warn().Str("id", d.info.ID).Str("target", string(t.ID)).Msg("target died under a request")
 
-	if d.Dispatcher.Died(d.req.Fingerprint(), crash.Death{Target: t.ID, Incarnation: incarnation}) {
+	if d.Dispatcher.RecordDeath(d.req.Fingerprint(), crash.Death{Target: t.ID, Incarnation: incarnation}) {
 		return d.trail.Refuse(request.Poisoned, 0, "targets crashed while they ran this request")
 	}
 
--- a/internal/serving/relay/relay_test.go
+++ b/internal/serving/relay/relay_test.go
@@ -117,7 +117,7 @@
 		Budgets: &RetryBudgets{Limit: RetryLimit{Ratio: 0.2, Burst: 100, Window: 10 * time.Second}},
 		Dispatcher: dispatch.New(dispatch.Config{
 			Table: targets, Entries: func() int { return 1 }, CellOf: func(string) int { return 0 },
-			Demanded: func(string) {}, Noticed: func(dispatch.Notice) {},
+			OnQueued: func(string) {}, OnNotice: func(dispatch.Notice) {},
 		}),
 		OnModelAbsent: func(*router.Target, string) {}, OnAddressMoved: func(*router.Target) {}, Log: zerolog.Nop(),
 	}
--- a/internal/serving/relay/server.go
+++ b/internal/serving/relay/server.go
@@ -345,7 +345,7 @@
 		cancel()
 	})()
 
-	if wait, stopped := d.Dispatcher.Stopped(d.req.Fingerprint()); stopped {
+	if wait, stopped := d.Dispatcher.IsBlocked(d.req.Fingerprint()); stopped {
 		d.finish(request.Refuse(request.Poisoned, wait, "this request has crashed the targets that ran it"))
 
 		return
@@ -357,7 +357,7 @@
 		return
 	}
 
-	d.suspect = d.Dispatcher.Suspect(d.req.Fingerprint())
+	d.suspect = d.Dispatcher.IsSuspect(d.req.Fingerprint())
 	d.finish(d.run(ctx))
 }
 
