--- a/internal/serving/dispatch/failure.go
+++ b/internal/serving/dispatch/failure.go
@@ -66,7 +66,7 @@
 		return refusal
 	}
 
-	if f.attempts.Sends() >= maxAttempts || !f.retryIsFree(err) && !f.budget.consume() {
+	if f.attempts.Count() >= maxAttempts || !f.retryIsFree(err) && !f.budget.consume() {
 		return f.attempts.Refuse(request.TargetFailed, defaultRetryAfter, "targets failed: "+err.Error())
 	}
 
@@ -84,13 +84,13 @@
 // backOff sleeps before the second and each later retry, unless it goes to the
 // same target.
 func (f *forwarder) backOff(ctx context.Context) error {
-	if f.retrySame || f.attempts.Sends() < 2 { //nolint:mnd // The first retry goes at once.
+	if f.retrySame || f.attempts.Count() < 2 { //nolint:mnd // The first retry goes at once.
 		return nil
 	}
 
 	const base = 20 * time.Millisecond
 
-	return clock.Sleep(ctx, base<<min(f.attempts.Sends(), 4)) //nolint:mnd // At most sixteenfold.
+	return clock.Sleep(ctx, base<<min(f.attempts.Count(), 4)) //nolint:mnd // At most sixteenfold.
 }
 
 // diagnose determines why an attempt failed and records what it says about the
--- a/internal/serving/dispatch/forwarder.go
+++ b/internal/serving/dispatch/forwarder.go
@@ -22,7 +22,7 @@
 	req      *request.Request
 	sink     Sink
 	checker  stream.Checker
-	attempts request.Trail
+	attempts request.AttemptLog
 	latency  *modelLatency
 
 	cold       bool
@@ -140,7 +140,7 @@
 	defer stall.stop()
 
 	kind := timeline.Sent
-	if f.attempts.Sends() > 0 {
+	if f.attempts.Count() > 0 {
 		kind = timeline.Resumed
 
 		f.cfg.Metrics.Counter("resumed").Inc(1)
@@ -152,7 +152,7 @@
 	f.last = t
 	f.incarnation, f.sentToDead = t.Info().Incarnation, t.Dead()
 
-	number := f.attempts.Send()
+	number := f.attempts.Begin()
 	sent := time.Now()
 	load := t.InFlight()
 
@@ -165,7 +165,7 @@
 		Priority:  f.req.Priority,
 	})
 	if err != nil {
-		f.attempts.Learn(number, outcomeOf(err))
+		f.attempts.Record(number, outcomeOf(err))
 
 		return stall.wrap(err)
 	}
@@ -180,7 +180,7 @@
 		return stall.wrap(err)
 	}
 
-	f.attempts.Learn(number, request.Completed)
+	f.attempts.Record(number, request.Completed)
 
 	if tokens > 0 {
 		t.RecordSuccess(f.attemptFirstToken, load)
@@ -190,7 +190,7 @@
 }
 
 // outcomeOf returns what an error proves about an attempt that got no answer.
-func outcomeOf(err error) request.Fate {
+func outcomeOf(err error) request.Outcome {
 	var (
 		notReached *target.NotReachedError
 		notLoaded  *target.NotLoadedError
@@ -204,7 +204,7 @@
 		return request.ProvedNotRun
 	}
 
-	return request.InDoubtFate
+	return request.Unanswered
 }
 
 // relayTokens writes the stream's tokens to the sink until the end mark.
@@ -224,7 +224,7 @@
 		}
 
 		if tokens == 0 {
-			f.attempts.Learn(number, request.Begun)
+			f.attempts.Record(number, request.Begun)
 		}
 
 		if f.checker.Done() {
@@ -290,9 +290,9 @@
 
 	switch {
 	case ok:
-		refusal.Run = f.attempts.Verdict()
+		refusal.Run = f.attempts.Run()
 	case errors.Is(err, context.DeadlineExceeded):
-		refusal = f.attempts.Refuse(request.DeadlinePast, defaultRetryAfter, "the deadline has passed")
+		refusal = f.attempts.Refuse(request.DeadlinePassed, defaultRetryAfter, "the deadline has passed")
 	default:
 		f.cfg.Log.Add(timeline.Event{Kind: timeline.CallerLeft, Request: f.req.ID, Model: f.req.Model, Customer: f.req.Customer})
 
--- a/internal/serving/dispatch/modelqueue.go
+++ b/internal/serving/dispatch/modelqueue.go
@@ -172,7 +172,7 @@
 	defer m.mu.Unlock()
 
 	if m.tooLate(it) {
-		return request.Refuse(request.DeadlineAhead, m.drainTime(), "the queue is too long to meet its deadline")
+		return request.Refuse(request.DeadlineUnreachable, m.drainTime(), "the queue is too long to meet its deadline")
 	}
 
 	displaced, err := m.q.Push(it)
@@ -363,7 +363,7 @@
 // refuseLate refuses requests as soon as they cannot be answered before their
 // deadline, rather than when it passes.
 func (m *modelQueue) refuseLate(now time.Time) {
-	start, code := now, request.DeadlineAhead
+	start, code := now, request.DeadlineUnreachable
 
 	if !router.AnyUsable(m.d.cfg.Table.Targets(m.model)) {
 		if wait, ok := m.modelWait(); ok {
--- a/internal/serving/dispatch/overload_test.go
+++ b/internal/serving/dispatch/overload_test.go
@@ -35,7 +35,7 @@
 		"the load would end after the deadline": {
 			&router.Wait{Model: model, Ready: 30 * time.Second}, 10 * time.Second, request.TooCold, time.Second, 20 * time.Second,
 		},
-		"no Wait is published": {nil, 5 * time.Second, request.DeadlineAhead, 5100 * time.Millisecond, time.Second},
+		"no Wait is published": {nil, 5 * time.Second, request.DeadlineUnreachable, 5100 * time.Millisecond, time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -178,7 +178,7 @@
 					case refusal != nil:
 						refused++
 
-						if refusal.Run != request.NotRun && refusal.Code == request.DeadlinePast {
+						if refusal.Run != request.NotRun && refusal.Code == request.DeadlinePassed {
 							untrue++
 						}
 					}
--- a/internal/serving/gateway/service.go
+++ b/internal/serving/gateway/service.go
@@ -50,7 +50,7 @@
 	service string
 	path    string
 	body    []byte
-	trail   request.Trail
+	trail   request.AttemptLog
 }
 
 func (g *Gateway) serveService(w http.ResponseWriter, r *http.Request) {
@@ -135,7 +135,7 @@
 // refusal returns the refusal for err, which states no more than is proved.
 func (s *serviceCall) refusal(ctx context.Context, err error) *request.Refusal {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return s.trail.Refuse(request.DeadlinePast, time.Second, "the service did not answer in time")
+		return s.trail.Refuse(request.DeadlinePassed, time.Second, "the service did not answer in time")
 	}
 
 	return s.trail.Refuse(request.TargetFailed, time.Second, "service "+s.service+": "+err.Error())
@@ -228,7 +228,7 @@
 		}
 
 		a, lastErr = g.send(ctx, s)
-		if lastErr == nil || s.trail.Verdict() != request.NotRun {
+		if lastErr == nil || s.trail.Run() != request.NotRun {
 			break
 		}
 	}
@@ -241,7 +241,7 @@
 		// The answer is stored before the client receives it, if the store is
 		// available, so that a retry finds it.
 		g.storeThenWrite(store, cancel, s, c, a)
-	case s.trail.Verdict() == request.NotRun:
+	case s.trail.Run() == request.NotRun:
 		defer cancel()
 
 		if err := g.withdraw(store, c); err != nil {
@@ -342,8 +342,8 @@
 
 	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", t.Address.String())
 	if err != nil {
-		attempt := s.trail.Send()
-		s.trail.Learn(attempt, request.NotReached)
+		attempt := s.trail.Begin()
+		s.trail.Record(attempt, request.NotReached)
 
 		return claim.Answer{}, err
 	}
@@ -383,7 +383,7 @@
 
 	g.cfg.Log.Add(timeline.Event{Kind: timeline.Sent, Request: s.id, Target: t.ID, Customer: s.plan.Customer, Detail: s.service})
 
-	attempt := s.trail.Send()
+	attempt := s.trail.Begin()
 
 	resp, err := tr.RoundTrip(req)
 	if err != nil {
@@ -391,7 +391,7 @@
 	}
 	defer resp.Body.Close()
 
-	s.trail.Learn(attempt, request.Begun)
+	s.trail.Record(attempt, request.Begun)
 
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
 	if err != nil {
@@ -402,7 +402,7 @@
 		return claim.Answer{}, &answerTooLargeError{}
 	}
 
-	s.trail.Learn(attempt, request.Completed)
+	s.trail.Record(attempt, request.Completed)
 
 	return claim.Answer{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
 }
--- a/internal/serving/relay/deliver.go
+++ b/internal/serving/relay/deliver.go
@@ -82,7 +82,7 @@
 			err = errors.Join(ctx.Err(), err)
 		}
 
-		d.Log.Info().Str("id", d.info.ID).Str("target", string(t.ID)).Int("send", d.trail.Sends()).Err(err).Msg("attempt failed")
+		d.Log.Info().Str("id", d.info.ID).Str("target", string(t.ID)).Int("send", d.trail.Count()).Err(err).Msg("attempt failed")
 
 		if !d.mayRetry(ctx, err) {
 			return err
@@ -145,7 +145,7 @@
 // mayRetry reports whether the request may be retried after err.
 func (d *delivery) mayRetry(ctx context.Context, err error) bool {
 	var clientErr *callerError
-	if errors.As(err, &clientErr) || ctx.Err() != nil || d.trail.Sends() >= maxAttempts || d.reached(RefusingUnstartedStreams) && !d.headSent {
+	if errors.As(err, &clientErr) || ctx.Err() != nil || d.trail.Count() >= maxAttempts || d.reached(RefusingUnstartedStreams) && !d.headSent {
 		return false
 	}
 
@@ -198,7 +198,7 @@
 		return &RetryBudgetError{Service: d.service}
 	}
 
-	if err := clock.Sleep(ctx, rejectionBackoff<<min(d.trail.Sends()-1, 3)); err != nil { //nolint:mnd // At most 8 times the base.
+	if err := clock.Sleep(ctx, rejectionBackoff<<min(d.trail.Count()-1, 3)); err != nil { //nolint:mnd // At most 8 times the base.
 		return err
 	}
 
@@ -226,7 +226,7 @@
 
 // attempt sends the request to the target and forwards its answer.
 func (d *delivery) attempt(ctx context.Context, t *router.Target) error {
-	n := d.trail.Send()
+	n := d.trail.Begin()
 	sent := time.Now()
 
 	if n == 0 {
@@ -269,7 +269,7 @@
 func (d *delivery) handleSendError(ctx context.Context, t *router.Target, n int, err error) error {
 	var dial *DialError
 	if errors.As(err, &dial) {
-		d.trail.Learn(n, request.NotReached)
+		d.trail.Record(n, request.NotReached)
 
 		if ctx.Err() == nil {
 			d.markUnreachable(t)
@@ -309,7 +309,7 @@
 
 // handleRejection records that the target did not run the request.
 func (d *delivery) handleRejection(t *router.Target, n int, a *answer) error {
-	d.trail.Learn(n, request.ProvedNotRun)
+	d.trail.Record(n, request.ProvedNotRun)
 
 	if _, err := io.Copy(io.Discard, io.LimitReader(a.Body, maxHeadBytes)); err == nil {
 		a.release()
@@ -417,7 +417,7 @@
 	}
 
 	a.release()
-	d.trail.Learn(n, request.Completed)
+	d.trail.Record(n, request.Completed)
 
 	whole := &bufferedAnswer{status: a.StatusCode, header: d.Protocol.Incoming(a.Header), body: body}
 
--- a/internal/serving/relay/identify.go
+++ b/internal/serving/relay/identify.go
@@ -145,7 +145,7 @@
 
 // refund returns what was charged if the request provably did not run.
 func (d *delivery) refund() {
-	if d.cost > 0 && d.trail.Verdict() == request.NotRun {
+	if d.cost > 0 && d.trail.Run() == request.NotRun {
 		d.Limits.Refund(d.team, d.cost)
 	}
 }
--- a/internal/serving/relay/pass.go
+++ b/internal/serving/relay/pass.go
@@ -49,7 +49,7 @@
 			return err
 		}
 
-		d.trail.Learn(n, request.Begun)
+		d.trail.Record(n, request.Begun)
 
 		if id != "" {
 			d.lastEvent = id
@@ -96,7 +96,7 @@
 	}
 
 	a.release()
-	d.trail.Learn(n, request.Completed)
+	d.trail.Record(n, request.Completed)
 
 	if len(rest) > 0 || !d.headSent {
 		return d.writeEvent(a, rest)
--- a/internal/serving/relay/server.go
+++ b/internal/serving/relay/server.go
@@ -233,7 +233,7 @@
 	kind := kindNames[d.route.Kind]
 	d.count(kind, status)
 
-	if n := d.trail.Sends(); n > 1 {
+	if n := d.trail.Count(); n > 1 {
 		d.Metrics.Counter("repeats").Inc(int64(n - 1))
 	}
 
@@ -265,7 +265,7 @@
 	prioritised bool
 	body        []byte
 	req         *request.Request
-	trail       request.Trail
+	trail       request.AttemptLog
 	// runs counts the attempts that may have run the request.
 	runs    int
 	suspect bool
@@ -402,7 +402,7 @@
 // outcome.
 func (d *delivery) finish(err error) {
 	line := d.Log.Info().Str("id", d.info.ID).Str("route", d.route.Name).Str("team", d.teamName()).Float64("cost", d.cost).Uint64("config", d.version).
-		Str("key", d.req.Model).Int("sends", d.trail.Sends()).Bool("cold", d.coldStart).
+		Str("key", d.req.Model).Int("sends", d.trail.Count()).Bool("cold", d.coldStart).
 		Dur("goal", d.route.Goal).Dur("left", d.deadline.Sub(d.arrived)).Dur("waited", d.waited).Dur("first", d.firstByte).Dur("took", time.Since(d.arrived))
 
 	if d.events > 0 {
@@ -443,7 +443,7 @@
 // refusalStatus returns a status that states no more than is proved, and the
 // Retry-After. Only 503 promises that the request did not run.
 func (d *delivery) refusalStatus(err error) (int, time.Duration) {
-	run := d.trail.Verdict()
+	run := d.trail.Run()
 	timedOut := errors.Is(err, context.DeadlineExceeded)
 
 	switch {
--- a/internal/serving/request/trail_test.go
+++ b/internal/serving/request/trail_test.go
@@ -11,27 +11,27 @@
 // may then state.
 func TestVerdict(t *testing.T) {
 	for name, tc := range map[string]struct {
-		fates []Fate
+		fates []Outcome
 		want  Run
 	}{
 		"never sent":                                 {nil, NotRun},
-		"no connection":                              {[]Fate{NotReached}, NotRun},
-		"model not loaded there":                     {[]Fate{ProvedNotRun}, NotRun},
-		"no connection, then not loaded":             {[]Fate{NotReached, ProvedNotRun}, NotRun},
-		"sent, connection broke":                     {[]Fate{InDoubtFate}, MayHaveRun},
-		"sent, no answer, then not loaded elsewhere": {[]Fate{InDoubtFate, ProvedNotRun}, MayHaveRun},
-		"part of an answer":                          {[]Fate{Begun}, Ran},
-		"complete answer, client too slow":           {[]Fate{Completed}, Ran},
-		"part of an answer, then no connection":      {[]Fate{Begun, NotReached}, Ran},
-		"in doubt, then part of an answer":           {[]Fate{InDoubtFate, Begun}, Ran},
+		"no connection":                              {[]Outcome{NotReached}, NotRun},
+		"model not loaded there":                     {[]Outcome{ProvedNotRun}, NotRun},
+		"no connection, then not loaded":             {[]Outcome{NotReached, ProvedNotRun}, NotRun},
+		"sent, connection broke":                     {[]Outcome{Unanswered}, MayHaveRun},
+		"sent, no answer, then not loaded elsewhere": {[]Outcome{Unanswered, ProvedNotRun}, MayHaveRun},
+		"part of an answer":                          {[]Outcome{Begun}, Ran},
+		"complete answer, client too slow":           {[]Outcome{Completed}, Ran},
+		"part of an answer, then no connection":      {[]Outcome{Begun, NotReached}, Ran},
+		"in doubt, then part of an answer":           {[]Outcome{Unanswered, Begun}, Ran},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var trail Trail
+			var trail AttemptLog
 			for _, f := range tc.fates {
-				trail.Learn(trail.Send(), f)
+				trail.Record(trail.Begin(), f)
 			}
 
-			assert.Equal(t, trail.Verdict(), tc.want)
+			assert.Equal(t, trail.Run(), tc.want)
 			assert.Equal(t, trail.Refuse(TargetFailed, 0, "").Run, tc.want)
 		})
 	}
@@ -42,22 +42,22 @@
 // answer began must never become one that did not run.
 func TestNotRunIsProved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var trail Trail
+		var trail AttemptLog
 
 		open, begun := 0, false
 
 		for range rapid.IntRange(0, 6).Draw(t, "attempts") {
-			n := trail.Send()
+			n := trail.Begin()
 			proved, began := false, false
 
 			for _, f := range rapid.SliceOfN(rapid.IntRange(int(NotReached), int(Completed)), 0, 3).Draw(t, "recorded") {
-				trail.Learn(n, Fate(f))
+				trail.Record(n, Outcome(f))
 
-				if Fate(f) >= Begun {
+				if Outcome(f) >= Begun {
 					began = true
 				}
 
-				proved = !began && Fate(f) <= ProvedNotRun
+				proved = !began && Outcome(f) <= ProvedNotRun
 			}
 
 			begun = begun || began
@@ -76,7 +76,7 @@
 			want = MayHaveRun
 		}
 
-		if got := trail.Verdict(); got != want {
+		if got := trail.Run(); got != want {
 			t.Fatalf("verdict %s, want %s", got, want)
 		}
 	})
