--- a/internal/fleet/node/routing.go
+++ b/internal/fleet/node/routing.go
@@ -251,7 +251,7 @@
 		return
 	}
 
-	info.Slots = e.Places(info.Slots)
+	info.Slots = e.Concurrency(info.Slots)
 
 	if s != nil && s.Born != t.Born {
 		s = nil
--- a/internal/placement/swap/replica.go
+++ b/internal/placement/swap/replica.go
@@ -28,7 +28,7 @@
 func overloadedAbove(e *route.Engine) int { return fractionOfSlots(e, overloadedFraction) }
 
 func fractionOfSlots(e *route.Engine, fraction float64) int {
-	return max(1, int(fraction*float64(e.Places(e.Slots))))
+	return max(1, int(fraction*float64(e.Concurrency(e.Slots))))
 }
 
 func (d *decider) placeDemanded(dem Want) {
--- a/internal/serving/relay/deliver.go
+++ b/internal/serving/relay/deliver.go
@@ -158,7 +158,7 @@
 		return true
 	}
 
-	return d.route.Repeatable() && d.runs < d.route.Attempts
+	return d.route.Retryable() && d.runs < d.route.Attempts
 }
 
 // provedNotRun reports whether the error proves that the target did not run the
@@ -244,7 +244,7 @@
 			Timeout: d.deadline.Sub(sent), Target: t.ID, LastEvent: lastEvent, Prioritised: d.prioritised, Priority: d.priority(),
 			DropCredentials: d.keysInUse, Team: d.teamName(),
 		}),
-		body: d.body, hasBody: d.r.ContentLength != 0, newConn: !d.route.Repeatable(),
+		body: d.body, hasBody: d.r.ContentLength != 0, newConn: !d.route.Retryable(),
 	}
 
 	a, err := d.Pool.exchange(ctx, t, out, d.Protocol)
--- a/internal/serving/relay/relay_test.go
+++ b/internal/serving/relay/relay_test.go
@@ -260,7 +260,7 @@
 // TestOutcomes checks, for each behaviour of the targets, what the client gets
 // and how many attempts are made.
 func TestOutcomes(t *testing.T) {
-	once := route.Route{Kind: route.Once, Timeout: 5 * time.Second}
+	once := route.Route{Kind: route.NonIdempotent, Timeout: 5 * time.Second}
 	idempotent := route.Route{Kind: route.Idempotent, Timeout: 5 * time.Second}
 	stepwise := route.Route{Kind: route.Stream, Timeout: 5 * time.Second}
 	resumable := route.Route{Kind: route.Stream, Resumable: true, Timeout: 5 * time.Second}
@@ -430,7 +430,7 @@
 func TestOnceUsesNewConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFixture(t, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "200 OK", "", "") },
-			route.Route{Kind: route.Once, Timeout: time.Second})
+			route.Route{Kind: route.NonIdempotent, Timeout: time.Second})
 
 		for range 3 {
 			w.do(t.Context(), "")
@@ -486,7 +486,7 @@
 // works for it. The target must be stopped at once, and no further attempt may
 // follow.
 func TestCallerLeaves(t *testing.T) {
-	for _, kind := range []route.Kind{route.Once, route.Idempotent, route.Stream} {
+	for _, kind := range []route.Kind{route.NonIdempotent, route.Idempotent, route.Stream} {
 		synctest.Test(t, func(t *testing.T) {
 			w := newFixture(t, func(int, call, io.Writer, net.Conn) {}, route.Route{Kind: kind, Timeout: 9 * time.Second})
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -519,7 +519,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFixture(t, func(int, call, io.Writer, net.Conn) {}, route.Route{Kind: route.Once, Timeout: c.timeout})
+				w := newFixture(t, func(int, call, io.Writer, net.Conn) {}, route.Route{Kind: route.NonIdempotent, Timeout: c.timeout})
 				began := time.Now()
 				rec, _ := w.do(t.Context(), "", "Left", c.left)
 
@@ -537,7 +537,7 @@
 func TestStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		act := func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "200 OK", "", "done") }
-		w := newFixture(t, act, route.Route{Kind: route.Once, Timeout: time.Second})
+		w := newFixture(t, act, route.Route{Kind: route.NonIdempotent, Timeout: time.Second})
 		w.server.EnterPhase(RefusingNewStreams)
 
 		rec, _ := w.do(t.Context(), "")
@@ -618,7 +618,7 @@
 // any target.
 func TestRefusedBeforeSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, nil, route.Route{Kind: route.Once, Timeout: time.Second})
+		w := newFixture(t, nil, route.Route{Kind: route.NonIdempotent, Timeout: time.Second})
 
 		rec, _ := w.do(t.Context(), "", "Id", "")
 		assert.Equal(t, rec.Code, http.StatusBadRequest)
--- a/internal/serving/relay/server.go
+++ b/internal/serving/relay/server.go
@@ -222,7 +222,7 @@
 }
 
 // kindNames are the names of the kinds in metrics.
-var kindNames = map[route.Kind]string{route.Idempotent: "idempotent", route.Once: "once", route.Stream: "stream"}
+var kindNames = map[route.Kind]string{route.Idempotent: "idempotent", route.NonIdempotent: "once", route.Stream: "stream"}
 
 // recordOutcome records the metrics of a request that has ended.
 func (d *delivery) recordOutcome(status int) {
@@ -373,7 +373,7 @@
 		return d.deadline
 	}
 
-	patience := time.Duration(queueShare * float64(d.route.Patience()))
+	patience := time.Duration(queueShare * float64(d.route.ClientTimeout()))
 	if latest := d.arrived.Add(patience); latest.Before(d.deadline) {
 		return latest
 	}
--- a/internal/serving/route/route.go
+++ b/internal/serving/route/route.go
@@ -17,8 +17,8 @@
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = iota
-	// Once requests run at most once.
-	Once
+	// NonIdempotent requests run at most once.
+	NonIdempotent
 	// Stream requests are answered by a series of events. They may run again
 	// only if the route is resumable.
 	Stream
@@ -51,16 +51,16 @@
 	Public bool
 }
 
-// Repeatable reports whether a request of the route may be sent again after an
+// Retryable reports whether a request of the route may be sent again after an
 // attempt with unknown outcome.
-func (r *Route) Repeatable() bool {
+func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Patience returns how long a client waits for a stream's first event, or
+// ClientTimeout returns how long a client waits for a stream's first event, or
 // between two events, before it disconnects: two seconds, four times the goal
 // or eight times the pause, whichever is longest, as the platform's clients do.
-func (r *Route) Patience() time.Duration {
+func (r *Route) ClientTimeout() time.Duration {
 	const (
 		least = 2 * time.Second
 		goals = 4
@@ -127,9 +127,9 @@
 // occupies.
 const typicalRequestTokens = 1700
 
-// Places returns how many typical requests a target with so many slots runs
+// Concurrency returns how many typical requests a target with so many slots runs
 // concurrently: no more than fit into its memory for prompts and answers.
-func (e *Engine) Places(slots int) int {
+func (e *Engine) Concurrency(slots int) int {
 	if e.CacheTokens <= 0 {
 		return slots
 	}
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -171,7 +171,7 @@
 		Routes: []route.Route{
 			{Name: "note", Host: Host, Prefix: "/note/", Kind: route.Stream, Resumable: true, Timeout: 8 * time.Second, Goal: goal, Attempts: 2, Splits: to(Drafting)},
 			{Name: "dossier", Host: Host, Prefix: "/dossier/", Kind: route.Stream, Timeout: 8 * time.Second, Goal: goal, Attempts: 1, Splits: to(Drafting)},
-			{Name: "book", Host: Host, Prefix: "/book/", Kind: route.Once, Timeout: time.Second, Attempts: 1, Splits: to(Desk)},
+			{Name: "book", Host: Host, Prefix: "/book/", Kind: route.NonIdempotent, Timeout: time.Second, Attempts: 1, Splits: to(Desk)},
 			{Name: "look", Host: Host, Prefix: "/look/", Kind: route.Idempotent, Timeout: time.Second, Attempts: 2, Splits: to(Desk)},
 		},
 		Services: map[string]route.Service{Drafting: {Name: Drafting, Engine: e}, Desk: {Name: Desk}},
