--- a/internal/measure/figure/reissue.go
+++ b/internal/measure/figure/reissue.go
@@ -31,22 +31,22 @@
 // reissue says how long to wait before a request is sent again.
 type reissue struct {
 	name  string
-	after func(past []time.Duration, g *stream.Gap) time.Duration
+	after func(past []time.Duration, g *stream.GapEstimator) time.Duration
 }
 
 const never = time.Minute
 
 var reissues = []reissue{
-	{"never", func([]time.Duration, *stream.Gap) time.Duration { return never }},
-	{"fixed 500 ms", func([]time.Duration, *stream.Gap) time.Duration { return 500 * time.Millisecond }},
-	{"Jacobson/Karels", func(_ []time.Duration, g *stream.Gap) time.Duration { return g.Bound() }},
+	{"never", func([]time.Duration, *stream.GapEstimator) time.Duration { return never }},
+	{"fixed 500 ms", func([]time.Duration, *stream.GapEstimator) time.Duration { return 500 * time.Millisecond }},
+	{"Jacobson/Karels", func(_ []time.Duration, g *stream.GapEstimator) time.Duration { return g.Bound() }},
 	{"histogram optimum", optimum},
 }
 
 // optimum is the restart time that minimises the mean, found on the histogram
 // of past times as Wolter and Reinecke describe ("Stochastic Models for
 // Dependable Services", 2010, equation 2).
-func optimum(past []time.Duration, _ *stream.Gap) time.Duration {
+func optimum(past []time.Duration, _ *stream.GapEstimator) time.Duration {
 	const least = 50
 
 	if len(past) < least {
@@ -89,7 +89,7 @@
 
 			var (
 				past   []time.Duration
-				gap    stream.Gap
+				gap    stream.GapEstimator
 				times  []time.Duration
 				sends  int
 				factor = 1.0
@@ -126,7 +126,7 @@
 
 // serve returns when the first token came and how often the request was sent.
 // Each try starts from nothing, as a cancelled one does on an engine.
-func (s lossy) serve(rng *rand.Rand, after time.Duration, factor float64, past *[]time.Duration, g *stream.Gap) (time.Duration, int) {
+func (s lossy) serve(rng *rand.Rand, after time.Duration, factor float64, past *[]time.Duration, g *stream.GapEstimator) (time.Duration, int) {
 	const (
 		median = 0.2
 		sigma  = 0.5
@@ -144,7 +144,7 @@
 		if took <= after || sent == most {
 			if took < never {
 				*past = append(*past, took)
-				g.Learn(took)
+				g.Observe(took)
 			}
 
 			return total + took, sent
--- a/internal/serving/dispatch/dispatch.go
+++ b/internal/serving/dispatch/dispatch.go
@@ -101,8 +101,8 @@
 // modelLatency estimates the times between the events of a model's answers.
 type modelLatency struct {
 	mu       sync.Mutex
-	first    stream.Gap
-	perToken stream.Gap
+	first    stream.GapEstimator
+	perToken stream.GapEstimator
 }
 
 // New returns a dispatcher.
@@ -201,11 +201,11 @@
 	defer l.mu.Unlock()
 
 	if first > 0 {
-		l.first.Learn(first)
+		l.first.Observe(first)
 	}
 
 	if perToken > 0 {
-		l.perToken.Learn(perToken)
+		l.perToken.Observe(perToken)
 	}
 }
 
--- a/internal/serving/stream/stream.go
+++ b/internal/serving/stream/stream.go
@@ -74,10 +74,10 @@
 	maxSilence = 10 * time.Second
 )
 
-// Gap estimates the time between the events of a stream and how long a silence
+// GapEstimator estimates the time between the events of a stream and how long a silence
 // is normal, as TCP estimates its retransmission timeout (Jacobson and Karels).
 // Without samples the bound is maxSilence.
-type Gap struct {
+type GapEstimator struct {
 	mean, dev float64
 }
 
@@ -88,8 +88,8 @@
 	devFactor = 4
 )
 
-// Learn adds one sample.
-func (g *Gap) Learn(d time.Duration) {
+// Observe adds one sample.
+func (g *GapEstimator) Observe(d time.Duration) {
 	x := float64(d)
 	if g.mean == 0 {
 		g.mean, g.dev = x, x/2
@@ -108,7 +108,7 @@
 }
 
 // Bound returns the longest silence that counts as normal.
-func (g *Gap) Bound() time.Duration {
+func (g *GapEstimator) Bound() time.Duration {
 	if g.mean == 0 {
 		return maxSilence
 	}
@@ -117,4 +117,4 @@
 }
 
 // Mean returns the smoothed mean gap, or zero without samples.
-func (g *Gap) Mean() time.Duration { return time.Duration(g.mean) }
+func (g *GapEstimator) Mean() time.Duration { return time.Duration(g.mean) }
--- a/internal/serving/stream/stream_test.go
+++ b/internal/serving/stream/stream_test.go
@@ -56,19 +56,19 @@
 }
 
 func TestGap(t *testing.T) {
-	var g Gap
+	var g GapEstimator
 
 	assert.Equal(t, g.Bound(), maxSilence)
 
 	for range 100 {
-		g.Learn(40 * time.Millisecond)
+		g.Observe(40 * time.Millisecond)
 	}
 
 	assert.Equal(t, g.Bound(), minSilence)
 
 	for range 100 {
-		g.Learn(400 * time.Millisecond)
-		g.Learn(600 * time.Millisecond)
+		g.Observe(400 * time.Millisecond)
+		g.Observe(600 * time.Millisecond)
 	}
 
 	assert.Assert(t, g.Bound() > 600*time.Millisecond && g.Bound() < 1500*time.Millisecond, "%s", g.Bound())
