--- a/internal/fleet/entry/entry.go
+++ b/internal/fleet/entry/entry.go
@@ -241,7 +241,7 @@
 		Lists:          &e.lists,
 		Shares:         &e.shares,
 		Dispatch:       e.dispatch,
-		Claims:         &claim.Book{Table: e.platform, Objects: e.platform, Entry: e.cfg.ID, Process: e.process},
+		Claims:         &claim.Registry{Table: e.platform, Objects: e.platform, Entry: e.cfg.ID, Process: e.process},
 		Fleet:          e.fleet,
 		Log:            &e.log,
 		Metrics:        e.metrics,
--- a/internal/fleet/entry/events.go
+++ b/internal/fleet/entry/events.go
@@ -242,7 +242,7 @@
 
 // sweepClaims removes old claims and old events.
 func (e *Entry) sweepClaims(ctx context.Context) {
-	book := claim.Book{Table: e.platform, Objects: e.platform}
+	book := claim.Registry{Table: e.platform, Objects: e.platform}
 	after, sweeps := "", 0
 
 	every(ctx, sweepEvery, func() {
--- a/internal/serving/claim/claim.go
+++ b/internal/serving/claim/claim.go
@@ -49,8 +49,8 @@
 // Outcome is the result of claiming a key.
 type Outcome interface{ outcome() }
 
-// Won means that the key was claimed, so that only this request may be sent.
-type Won struct{ Claim *Claim }
+// Acquired means that the key was claimed, so that only this request may be sent.
+type Acquired struct{ Claim *Claim }
 
 // Answered means that the request ran before.
 type Answered struct{ Answer Answer }
@@ -66,17 +66,17 @@
 // have run.
 type Doubtful struct{}
 
-// Different means that the key was used for a request with other content.
-type Different struct{}
+// KeyReused means that the key was used for a request with other content.
+type KeyReused struct{}
 
-func (Won) outcome()       {}
+func (Acquired) outcome()  {}
 func (Answered) outcome()  {}
 func (Pending) outcome()   {}
 func (Doubtful) outcome()  {}
-func (Different) outcome() {}
+func (KeyReused) outcome() {}
 
-// Book claims keys and stores answers.
-type Book struct {
+// Registry claims keys and stores answers.
+type Registry struct {
 	Table   table.Service
 	Objects object.Store
 	Entry   instance.ID
@@ -102,9 +102,9 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// Take claims the key. After an error the claim is unconfirmed, and the request
+// Acquire claims the key. After an error the claim is unconfirmed, and the request
 // must not be sent.
-func (b *Book) Take(ctx context.Context, key, digest string) (Outcome, error) {
+func (b *Registry) Acquire(ctx context.Context, key, digest string) (Outcome, error) {
 	row := record.Claim{
 		Digest:  digest,
 		Entry:   string(b.Entry),
@@ -118,9 +118,9 @@
 
 	switch {
 	case err == nil:
-		return Won{&Claim{Key: key, version: version, row: row}}, nil
+		return Acquired{&Claim{Key: key, version: version, row: row}}, nil
 	case table.IsConflict(err):
-		return b.Look(ctx, key, digest)
+		return b.Lookup(ctx, key, digest)
 	}
 
 	// The claim may still take effect. Nothing was sent under it, so it is
@@ -131,8 +131,8 @@
 	return nil, err
 }
 
-// Look returns the outcome of a key that is already claimed.
-func (b *Book) Look(ctx context.Context, key, digest string) (Outcome, error) {
+// Lookup returns the outcome of a key that is already claimed.
+func (b *Registry) Lookup(ctx context.Context, key, digest string) (Outcome, error) {
 	rows, err := b.Table.Read(ctx, key)
 	if err != nil {
 		return nil, err
@@ -149,7 +149,7 @@
 	}
 
 	if row.Digest != digest {
-		return Different{}, nil
+		return KeyReused{}, nil
 	}
 
 	switch State(row.State) {
@@ -168,7 +168,7 @@
 
 func (e *WithdrawnError) Error() string { return "claim: " + e.Key + " was withdrawn" }
 
-func (b *Book) answered(ctx context.Context, row record.Claim) (Outcome, error) {
+func (b *Registry) answered(ctx context.Context, row record.Claim) (Outcome, error) {
 	a := Answer{Status: row.Status, ContentType: row.ContentType, Body: row.Body}
 
 	if row.Object != "" {
@@ -188,7 +188,7 @@
 
 // Finish stores the answer. While the store is unavailable it retries until ctx
 // ends.
-func (b *Book) Finish(ctx context.Context, c *Claim, a Answer) error {
+func (b *Registry) Finish(ctx context.Context, c *Claim, a Answer) error {
 	row := c.row
 	row.State = string(Done)
 	row.Status, row.ContentType, row.Body = a.Status, a.ContentType, a.Body
@@ -203,16 +203,16 @@
 	return b.replace(ctx, c, row)
 }
 
-// Doubt records that the request was sent and no answer was received, so that a
+// MarkInDoubt records that the request was sent and no answer was received, so that a
 // repeated request finds this at once.
-func (b *Book) Doubt(ctx context.Context, c *Claim) error {
+func (b *Registry) MarkInDoubt(ctx context.Context, c *Claim) error {
 	row := c.row
 	row.State = string(InDoubt)
 
 	return b.replace(ctx, c, row)
 }
 
-func (b *Book) replace(ctx context.Context, c *Claim, row record.Claim) error {
+func (b *Registry) replace(ctx context.Context, c *Claim, row record.Claim) error {
 	row.WriteID = uuid.NewString()
 
 	version, err := table.Settle(ctx, b.Table, table.Transaction{
@@ -230,7 +230,7 @@
 
 // Withdraw deletes a claim under which nothing was sent, so that the request
 // may be sent again.
-func (b *Book) Withdraw(ctx context.Context, c *Claim) error {
+func (b *Registry) Withdraw(ctx context.Context, c *Claim) error {
 	return table.SettleDelete(ctx, b.Table, c.Key, c.version)
 }
 
@@ -244,7 +244,7 @@
 // withdrawUnconfirmed deletes a claim whose write may take effect late. It
 // returns after it has deleted the claim, or after the row was absent for
 // absenceToStop while the store answered.
-func (b *Book) withdrawUnconfirmed(key, writeID string) {
+func (b *Registry) withdrawUnconfirmed(key, writeID string) {
 	ctx, cancel := context.WithTimeout(context.Background(), withdrawTimeout)
 	defer cancel()
 
@@ -285,7 +285,7 @@
 // Sweep deletes claims older than the retention. It scans at most limit claims,
 // starting behind the key after, and returns the key to continue from, or "" at
 // the end.
-func (b *Book) Sweep(ctx context.Context, after string, limit int, now time.Time) (string, error) {
+func (b *Registry) Sweep(ctx context.Context, after string, limit int, now time.Time) (string, error) {
 	rows, err := b.Table.Scan(ctx, record.ClaimsPrefix, after, limit)
 	if err != nil {
 		return after, err
--- a/internal/serving/claim/claim_test.go
+++ b/internal/serving/claim/claim_test.go
@@ -17,8 +17,8 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/record"
 )
 
-func newBook(p *platform.Platform, id string) *Book {
-	return &Book{Table: p, Objects: p, Entry: instance.ID(id), Process: id}
+func newBook(p *platform.Platform, id string) *Registry {
+	return &Registry{Table: p, Objects: p, Entry: instance.ID(id), Process: id}
 }
 
 // TestOneWinner sends a stamp booking to eight entries at once while answers of
@@ -35,7 +35,7 @@
 				seen []Outcome
 			)
 
-			books := make([]*Book, 8)
+			books := make([]*Registry, 8)
 			for i := range books {
 				books[i] = newBook(&p, fmt.Sprint(i))
 			}
@@ -44,13 +44,13 @@
 
 			for _, b := range books {
 				wg.Go(func() {
-					o, err := b.Take(t.Context(), "claim/c/k", "digest")
+					o, err := b.Acquire(t.Context(), "claim/c/k", "digest")
 					assert.Check(t, err)
 
 					mu.Lock()
 					defer mu.Unlock()
 
-					if w, ok := o.(Won); ok {
+					if w, ok := o.(Acquired); ok {
 						won = append(won, w.Claim)
 					} else {
 						seen = append(seen, o)
@@ -70,13 +70,13 @@
 			answer := Answer{Status: 201, ContentType: "text/plain", Body: []byte("stamped")}
 			assert.NilError(t, books[0].Finish(t.Context(), won[0], answer))
 
-			o, err := books[3].Take(t.Context(), "claim/c/k", "digest")
+			o, err := books[3].Acquire(t.Context(), "claim/c/k", "digest")
 			assert.NilError(t, err)
 			assert.DeepEqual(t, o, Answered{answer})
 
-			o, err = books[3].Take(t.Context(), "claim/c/k", "another request")
+			o, err = books[3].Acquire(t.Context(), "claim/c/k", "another request")
 			assert.NilError(t, err)
-			assert.DeepEqual(t, o, Different{})
+			assert.DeepEqual(t, o, KeyReused{})
 			time.Sleep(5 * time.Minute)
 		})
 	}
@@ -94,7 +94,7 @@
 		slow.after.Store(int64(10 * time.Second))
 		b.Table = slow
 
-		_, err := b.Take(t.Context(), "claim/c/k", "d")
+		_, err := b.Acquire(t.Context(), "claim/c/k", "d")
 		assert.Assert(t, err != nil)
 
 		// The write takes effect ten seconds later.
@@ -106,10 +106,10 @@
 
 		slow.after.Store(0)
 
-		o, err := b.Take(t.Context(), "claim/c/k", "d")
+		o, err := b.Acquire(t.Context(), "claim/c/k", "d")
 		assert.NilError(t, err)
 
-		_, ok = o.(Won)
+		_, ok = o.(Acquired)
 		assert.Assert(t, ok, "%T", o)
 		time.Sleep(5 * time.Minute)
 	})
@@ -138,29 +138,29 @@
 
 	b := newBook(&p, "a")
 	take := func(key string) Outcome {
-		o, err := b.Take(t.Context(), key, "d")
+		o, err := b.Acquire(t.Context(), key, "d")
 		assert.NilError(t, err)
 
 		return o
 	}
 
 	// Sent, and no answer came.
-	c := take("claim/c/doubt").(Won).Claim
-	assert.NilError(t, b.Doubt(t.Context(), c))
+	c := take("claim/c/doubt").(Acquired).Claim
+	assert.NilError(t, b.MarkInDoubt(t.Context(), c))
 	assert.DeepEqual(t, take("claim/c/doubt"), Doubtful{})
 
 	// Nothing was sent, so a repeated request may run.
-	c = take("claim/c/none").(Won).Claim
+	c = take("claim/c/none").(Acquired).Claim
 	assert.NilError(t, b.Withdraw(t.Context(), c))
 
-	_, ok := take("claim/c/none").(Won)
+	_, ok := take("claim/c/none").(Acquired)
 	assert.Assert(t, ok)
 
-	_, err := b.Look(t.Context(), "claim/c/never", "d")
+	_, err := b.Lookup(t.Context(), "claim/c/never", "d")
 	assert.Assert(t, IsWithdrawn(err))
 
 	// A large answer goes to the object store.
-	c = take("claim/c/large").(Won).Claim
+	c = take("claim/c/large").(Acquired).Claim
 	large := Answer{Status: 200, Body: make([]byte, maxInlineBody+1)}
 	assert.NilError(t, b.Finish(t.Context(), c, large))
 	assert.DeepEqual(t, take("claim/c/large"), Answered{large})
@@ -176,7 +176,7 @@
 		var p platform.Platform
 
 		b := newBook(&p, "a")
-		_, err := b.Take(t.Context(), "claim/c/7", "d")
+		_, err := b.Acquire(t.Context(), "claim/c/7", "d")
 		assert.NilError(t, err)
 
 		counted := &counting{Platform: &p}
@@ -192,13 +192,13 @@
 
 		for i := range 60 {
 			wg.Go(func() {
-				o, err := b.Take(t.Context(), fmt.Sprint("claim/c/", i%30), "d")
+				o, err := b.Acquire(t.Context(), fmt.Sprint("claim/c/", i%30), "d")
 				assert.Check(t, err)
 
 				mu.Lock()
 				defer mu.Unlock()
 
-				if _, ok := o.(Won); ok {
+				if _, ok := o.(Acquired); ok {
 					won++
 				}
 			})
@@ -211,7 +211,7 @@
 
 		for i := range 64 {
 			wg.Go(func() {
-				_, err := b.Take(t.Context(), fmt.Sprint("claim/c/new-", i), "d")
+				_, err := b.Acquire(t.Context(), fmt.Sprint("claim/c/new-", i), "d")
 				assert.Check(t, err)
 			})
 		}
@@ -239,7 +239,7 @@
 	b := newBook(&p, "a")
 
 	for i := range 25 {
-		_, err := b.Take(t.Context(), fmt.Sprintf("claim/c/%02d", i), "d")
+		_, err := b.Acquire(t.Context(), fmt.Sprintf("claim/c/%02d", i), "d")
 		assert.NilError(t, err)
 	}
 
--- a/internal/serving/gateway/gateway.go
+++ b/internal/serving/gateway/gateway.go
@@ -33,7 +33,7 @@
 	Lists    *list.Register
 	Shares   *limit.Shares
 	Dispatch *dispatch.Dispatcher
-	Claims   *claim.Book
+	Claims   *claim.Registry
 	Fleet    *peer.Set
 	Log      *timeline.Log
 	Metrics  tally.Scope
--- a/internal/serving/gateway/service.go
+++ b/internal/serving/gateway/service.go
@@ -146,11 +146,11 @@
 	key := claim.Key(s.plan.Customer, idempotencyKey)
 	digest := claim.Digest(s.r.Method, s.r.URL.Path, s.body)
 
-	outcome, err := g.cfg.Claims.Take(ctx, key, digest)
+	outcome, err := g.cfg.Claims.Acquire(ctx, key, digest)
 
 	for polls := 0; err == nil; polls++ {
 		switch o := outcome.(type) {
-		case claim.Won:
+		case claim.Acquired:
 			g.sendOnce(ctx, s, o.Claim)
 
 			return
@@ -158,7 +158,7 @@
 			g.writeAnswer(s, o.Answer)
 
 			return
-		case claim.Different:
+		case claim.KeyReused:
 			g.refuse(s.call, request.Refuse(request.KeyConflict, 0, "the key was used with another request"))
 
 			return
@@ -181,9 +181,9 @@
 				return
 			}
 
-			outcome, err = g.cfg.Claims.Look(ctx, key, digest)
+			outcome, err = g.cfg.Claims.Lookup(ctx, key, digest)
 			if claim.IsWithdrawn(err) {
-				outcome, err = g.cfg.Claims.Take(ctx, key, digest)
+				outcome, err = g.cfg.Claims.Acquire(ctx, key, digest)
 			}
 		}
 	}
@@ -253,7 +253,7 @@
 		go func() {
 			defer cancel()
 
-			_ = g.cfg.Claims.Doubt(store, c)
+			_ = g.cfg.Claims.MarkInDoubt(store, c)
 		}()
 
 		g.refuse(s.call, s.refusal(ctx, lastErr))
