--- a/internal/placement/holder/decide.go
+++ b/internal/placement/holder/decide.go
@@ -22,7 +22,7 @@
 // want is what is asked for under one key.
 type want struct {
 	service, model, adapter string
-	swap.Want
+	swap.Demand
 }
 
 // splitKey takes a key apart into service, model and adapter.
@@ -149,7 +149,7 @@
 	var out []want
 
 	for _, d := range h.asks.Merged(time.Now()) {
-		w := want{Want: swap.Want{Waiting: d.Waiting, Running: d.Running, Deadline: d.Deadline, Goal: d.Goal, Priority: d.Priority}}
+		w := want{Demand: swap.Demand{Waiting: d.Waiting, Running: d.Running, Deadline: d.Deadline, Goal: d.Goal, Priority: d.Priority}}
 		w.service, w.model, w.adapter = splitKey(d.Model)
 		out = append(out, w)
 	}
@@ -158,8 +158,8 @@
 }
 
 func (h *Holder) orderModels(ctx context.Context, service string, e *route.Engine, wants []want, used usage, now time.Time) {
-	v := &swap.View{
-		Now: now, Engine: e, Wants: byModel(service, wants), Rate: h.rates.perSecond, Habit: h.habits.perSecond, Promised: h.promised(service), StoreLoads: int(h.feed(service).carries()),
+	v := &swap.Snapshot{
+		Now: now, Engine: e, Demands: byModel(service, wants), Rate: h.rates.perSecond, LongTermRate: h.habits.perSecond, PromisedSince: h.promised(service), FreeStoreLoads: int(h.feed(service).carries()),
 	}
 	for id, s := range h.stations {
 		if s.target.Service != service {
@@ -167,8 +167,8 @@
 		}
 
 		if s.storeLoad != "" {
-			v.StoreLoads--
-			v.StoreEnds = append(v.StoreEnds, max(0, s.loading.Sub(now)))
+			v.FreeStoreLoads--
+			v.StoreLoadsEndIn = append(v.StoreLoadsEndIn, max(0, s.loading.Sub(now)))
 		}
 
 		v.Targets = append(v.Targets, s.view(now, used.running[id], used.byModel[id]))
@@ -176,15 +176,15 @@
 
 	slices.SortFunc(v.Targets, func(a, b swap.Target) int { return cmp.Compare(a.ID, b.ID) })
 
-	v.StoreSlower = h.feed(service).slower(len(v.StoreEnds))
-	v.Risk = h.risk(service, v)
-	round := swap.Plan(v)
-	h.foretell(service, round.Ready, now)
+	v.StoreSlowdown = h.feed(service).slower(len(v.StoreLoadsEndIn))
+	v.LossRisk = h.risk(service, v)
+	round := swap.Decide(v)
+	h.foretell(service, round.ReadyIn, now)
 
-	for _, m := range round.Moves {
+	for _, m := range round.Swaps {
 		s := h.stations[m.Target]
-		h.cfg.Log.Info().Str("target", string(m.Target)).Str("load", m.Load).Strs("unload", m.Unload).Int("tier", int(m.From)).
-			Dur("takes", m.Takes).Str("for", string(m.For)).Uint64("token", h.held.Token).Uint64("sequence", s.sequence).Msg("swap decided")
+		h.cfg.Log.Info().Str("target", string(m.Target)).Str("load", m.Load).Strs("unload", m.Unload).Int("tier", int(m.Tier)).
+			Dur("takes", m.LoadTime).Str("for", string(m.Reason)).Uint64("token", h.held.Token).Uint64("sequence", s.sequence).Msg("swap decided")
 		h.reserve(s, m, now)
 		h.begin(s, func() { h.swap(ctx, s, m) })
 	}
@@ -192,16 +192,16 @@
 
 // reserve books a swap before its orders are sent, so that the next round
 // counts with it and entries stop sending to what makes way.
-func (h *Holder) reserve(s *station, m swap.Move, now time.Time) {
+func (h *Holder) reserve(s *station, m swap.Swap, now time.Time) {
 	for _, model := range m.Unload {
 		delete(s.held, model)
 	}
 
-	s.held[m.Load] = &residence{ready: now.Add(m.Takes + unordered), used: now, adapters: make(map[string]*placed)}
-	s.ordering, s.takes, s.storeLoad = m.Load, m.Takes, ""
+	s.held[m.Load] = &residence{ready: now.Add(m.LoadTime + unordered), used: now, adapters: make(map[string]*placed)}
+	s.ordering, s.takes, s.storeLoad = m.Load, m.LoadTime, ""
 	h.published = false
 
-	if m.From == target.TierRemote {
+	if m.Tier == target.TierRemote {
 		s.storeLoad = m.Load
 	}
 }
@@ -225,8 +225,8 @@
 const orderTime = 300 * time.Millisecond
 
 // byModel sums the wants of a service's models and their adapters.
-func byModel(service string, wants []want) []swap.Want {
-	sums := make(map[string]*swap.Want)
+func byModel(service string, wants []want) []swap.Demand {
+	sums := make(map[string]*swap.Demand)
 
 	var order []string
 
@@ -237,7 +237,7 @@
 
 		sum := sums[w.model]
 		if sum == nil {
-			sum = &swap.Want{Model: w.model}
+			sum = &swap.Demand{Model: w.model}
 			sums[w.model] = sum
 			order = append(order, w.model)
 		}
@@ -250,7 +250,7 @@
 		sum.Goal = replica.Soonest(sum.Goal, w.Goal)
 	}
 
-	out := make([]swap.Want, 0, len(order))
+	out := make([]swap.Demand, 0, len(order))
 	for _, model := range order {
 		out = append(out, *sums[model])
 	}
@@ -291,24 +291,24 @@
 // view returns the station as the plan sees it.
 func (s *station) view(now time.Time, running int, uses map[string]int) swap.Target {
 	t := swap.Target{
-		ID: s.target.ID, Free: s.known && !s.working && !now.Before(s.loading),
-		Serving: s.serves(), AtHand: s.atHand, Running: running,
+		ID: s.target.ID, AcceptsOrders: s.known && !s.working && !now.Before(s.loading),
+		Serving: s.serves(), Cached: s.atHand, Running: running,
 	}
 
-	if !t.Free {
-		t.FreeIn = max(orderTime, s.loading.Sub(now))
+	if !t.AcceptsOrders {
+		t.OrderEndsIn = max(orderTime, s.loading.Sub(now))
 
 		// Nothing tells how long an order of another holder lasts yet, so it is
 		// taken to last as long again. Callers would wait for this target, a
 		// moment at a time, while others could load their model.
 		if !s.busySince.IsZero() {
-			t.FreeIn = max(t.FreeIn, now.Sub(s.busySince))
+			t.OrderEndsIn = max(t.OrderEndsIn, now.Sub(s.busySince))
 		}
 	}
 
 	for model, res := range s.held {
-		t.Held = append(t.Held, swap.Resident{
-			Model: model, Running: uses[model], Used: res.used, Coming: now.Before(res.ready),
+		t.Models = append(t.Models, swap.ResidentModel{
+			Model: model, Running: uses[model], LastUsed: res.used, Loading: now.Before(res.ready),
 		})
 	}
 
@@ -321,7 +321,7 @@
 			continue
 		}
 
-		var sites []swap.Site
+		var sites []swap.AdapterTarget
 
 		for id, s := range h.stations {
 			if s.target.Service == service && s.takesAdapter(w.model, now) {
@@ -362,13 +362,13 @@
 	return res != nil && s.known && !s.working && s.serves() && !now.Before(s.loading) && !now.Before(res.ready)
 }
 
-func (s *station) site(id instance.ID, running int, uses map[string]int) swap.Site {
-	site := swap.Site{ID: id, Running: running}
+func (s *station) site(id instance.ID, running int, uses map[string]int) swap.AdapterTarget {
+	site := swap.AdapterTarget{ID: id, Running: running}
 
 	for model, res := range s.held {
 		for name, a := range res.adapters {
 			full := model + "/" + name
-			site.Adapters = append(site.Adapters, swap.AdapterOn{Name: full, Running: uses[full], Used: a.used})
+			site.Adapters = append(site.Adapters, swap.LoadedAdapter{Name: full, Running: uses[full], LastUsed: a.used})
 		}
 	}
 
--- a/internal/placement/holder/orders.go
+++ b/internal/placement/holder/orders.go
@@ -32,7 +32,7 @@
 )
 
 // swap unloads what makes way and loads the model.
-func (h *Holder) swap(ctx context.Context, s *station, m swap.Move) {
+func (h *Holder) swap(ctx context.Context, s *station, m swap.Swap) {
 	sent := h.sendAll(ctx, s, m)
 
 	h.mu.Lock()
@@ -45,7 +45,7 @@
 	}
 
 	now := clock.Now()
-	s.loading, s.loadBegan, s.ordering = now.Add(m.Takes+foretold), now, ""
+	s.loading, s.loadBegan, s.ordering = now.Add(m.LoadTime+foretold), now, ""
 
 	if res := s.held[m.Load]; res != nil {
 		res.ready, res.used = s.loading, now
@@ -75,7 +75,7 @@
 }
 
 // sendAll hands over a swap's orders, and reports whether the load is begun.
-func (h *Holder) sendAll(ctx context.Context, s *station, m swap.Move) bool {
+func (h *Holder) sendAll(ctx context.Context, s *station, m swap.Swap) bool {
 	for _, model := range m.Unload {
 		if !h.send(ctx, s, Order{Unload: true, Model: model}) {
 			return false
--- a/internal/placement/holder/station.go
+++ b/internal/placement/holder/station.go
@@ -165,7 +165,7 @@
 
 // risk returns how likely a target of the service is gone before a copy of
 // what it holds is had elsewhere.
-func (h *Holder) risk(service string, v *swap.View) float64 {
+func (h *Holder) risk(service string, v *swap.Snapshot) float64 {
 	t := h.turnovers[service]
 	if t == nil {
 		return crashRisk
--- a/internal/placement/holder/weights_test.go
+++ b/internal/placement/holder/weights_test.go
@@ -51,12 +51,12 @@
 
 	for _, after := range []time.Duration{0, time.Second, 20 * time.Second} {
 		v := s.view(now.Add(after), 0, nil)
-		assert.Assert(t, !v.Free)
-		assert.Equal(t, v.FreeIn, max(orderTime, after))
+		assert.Assert(t, !v.AcceptsOrders)
+		assert.Equal(t, v.OrderEndsIn, max(orderTime, after))
 
 		s.take(Report{Busy: true}, now.Add(after))
 	}
 
 	s.take(Report{}, now.Add(30*time.Second))
-	assert.Assert(t, s.view(now.Add(30*time.Second), 0, nil).Free)
+	assert.Assert(t, s.view(now.Add(30*time.Second), 0, nil).AcceptsOrders)
 }
--- a/internal/placement/swap/adapter.go
+++ b/internal/placement/swap/adapter.go
@@ -8,23 +8,23 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// AdapterOn is an adapter that is loaded on a target.
-type AdapterOn struct {
-	Name    string
-	Running int
-	Used    time.Time
+// LoadedAdapter is an adapter that is loaded on a target.
+type LoadedAdapter struct {
+	Name     string
+	Running  int
+	LastUsed time.Time
 }
 
-// Site is a target on which an adapter's base model is ready.
-type Site struct {
+// AdapterTarget is a target on which an adapter's base model is ready.
+type AdapterTarget struct {
 	ID instance.ID
 	// Running is the number of requests that run on the target.
 	Running  int
-	Adapters []AdapterOn
+	Adapters []LoadedAdapter
 }
 
-// AdapterMove is the load of an adapter. Unload is empty if a slot is free.
-type AdapterMove struct {
+// AdapterSwap is the load of an adapter. Unload is empty if a slot is free.
+type AdapterSwap struct {
 	Target instance.ID
 	Unload string
 }
@@ -32,9 +32,9 @@
 // PlaceAdapter returns the target on which to load an adapter: the one with the
 // fewest running requests among those with a free slot or, if there are none,
 // among those with an idle adapter to unload.
-func PlaceAdapter(sites []Site, slots int, now time.Time) (AdapterMove, bool) {
+func PlaceAdapter(sites []AdapterTarget, slots int, now time.Time) (AdapterSwap, bool) {
 	sorted := slices.Clone(sites)
-	slices.SortStableFunc(sorted, func(a, b Site) int {
+	slices.SortStableFunc(sorted, func(a, b AdapterTarget) int {
 		return cmp.Or(
 			cmp.Compare(full(a, slots), full(b, slots)),
 			cmp.Compare(a.Running, b.Running),
@@ -44,18 +44,18 @@
 
 	for _, s := range sorted {
 		if len(s.Adapters) < slots {
-			return AdapterMove{Target: s.ID}, true
+			return AdapterSwap{Target: s.ID}, true
 		}
 
 		if idle := oldestIdle(s.Adapters, now); idle != "" {
-			return AdapterMove{Target: s.ID, Unload: idle}, true
+			return AdapterSwap{Target: s.ID, Unload: idle}, true
 		}
 	}
 
-	return AdapterMove{}, false
+	return AdapterSwap{}, false
 }
 
-func full(s Site, slots int) int {
+func full(s AdapterTarget, slots int) int {
 	if len(s.Adapters) >= slots {
 		return 1
 	}
@@ -63,16 +63,16 @@
 	return 0
 }
 
-func oldestIdle(adapters []AdapterOn, now time.Time) string {
-	var oldest *AdapterOn
+func oldestIdle(adapters []LoadedAdapter, now time.Time) string {
+	var oldest *LoadedAdapter
 
 	for i := range adapters {
 		a := &adapters[i]
-		if a.Running > 0 || now.Sub(a.Used) < minIdleTime {
+		if a.Running > 0 || now.Sub(a.LastUsed) < minIdleTime {
 			continue
 		}
 
-		if oldest == nil || a.Used.Before(oldest.Used) {
+		if oldest == nil || a.LastUsed.Before(oldest.LastUsed) {
 			oldest = a
 		}
 	}
--- a/internal/placement/swap/exhaustive_test.go
+++ b/internal/placement/swap/exhaustive_test.go
@@ -14,10 +14,10 @@
 
 // randomCase returns a random small case: a few targets, each with the weights of
 // some models on disk, and models without a replica that requests wait for.
-func randomCase(r *rand.Rand) *View {
+func randomCase(r *rand.Rand) *Snapshot {
 	const models = 8
 
-	v := &View{Now: now, Engine: engine(models)}
+	v := &Snapshot{Now: now, Engine: engine(models)}
 
 	for i := range 2 + r.IntN(3) {
 		t := targetWith(instance.ID(fmt.Sprint("t", i)))
@@ -28,7 +28,7 @@
 			case r.IntN(4) == 0:
 				t = t.withDisk(fmt.Sprint("m", m))
 			case m >= 5 && r.IntN(2) == 0:
-				t.Held = append(t.Held, Resident{Model: fmt.Sprint("m", m), Used: now.Add(-time.Minute)})
+				t.Models = append(t.Models, ResidentModel{Model: fmt.Sprint("m", m), LastUsed: now.Add(-time.Minute)})
 			}
 		}
 
@@ -38,7 +38,7 @@
 	for m := range 2 + r.IntN(3) {
 		w := waiting(fmt.Sprint("m", m))
 		w.Deadline = now.Add(time.Duration(2+r.IntN(8)) * time.Second)
-		v.Wants = append(v.Wants, w)
+		v.Demands = append(v.Demands, w)
 	}
 
 	return v
@@ -46,15 +46,15 @@
 
 // best returns the maximum number of models that any assignment to different
 // targets can start to load from disk now.
-func best(v *View, next int, taken map[instance.ID]bool) int {
-	if next == len(v.Wants) {
+func best(v *Snapshot, next int, taken map[instance.ID]bool) int {
+	if next == len(v.Demands) {
 		return 0
 	}
 
 	most := best(v, next+1, taken)
 
 	for _, t := range v.Targets {
-		if taken[t.ID] || t.AtHand[v.Wants[next].Model] != target.TierDisk {
+		if taken[t.ID] || t.Cached[v.Demands[next].Model] != target.TierDisk {
 			continue
 		}
 
@@ -82,8 +82,8 @@
 		v := randomCase(r)
 		n := 0
 
-		for _, m := range Plan(v).Moves {
-			if m.For == ReasonWaiting {
+		for _, m := range Decide(v).Swaps {
+			if m.Reason == ReasonWaiting {
 				n++
 			}
 		}
--- a/internal/placement/swap/fill.go
+++ b/internal/placement/swap/fill.go
@@ -35,7 +35,7 @@
 			return
 		}
 
-		at := slices.IndexFunc(free, func(t *Target) bool { return d.fits(t, m) && t.AtHand[m.Name] != 0 })
+		at := slices.IndexFunc(free, func(t *Target) bool { return d.fits(t, m) && t.Cached[m.Name] != 0 })
 		if at < 0 {
 			continue
 		}
@@ -43,7 +43,7 @@
 		t := free[at]
 		tier, loadTime := d.tierAndTime(t, m)
 
-		d.add(Move{Target: t.ID, Load: m.Name, Takes: loadTime, From: tier, For: ReasonAhead})
+		d.add(Swap{Target: t.ID, Load: m.Name, LoadTime: loadTime, Tier: tier, Reason: ReasonAhead})
 
 		free = slices.Delete(free, at, at+1)
 	}
@@ -55,7 +55,7 @@
 	var out []*Target
 
 	for i := range d.Targets {
-		if t := &d.Targets[i]; t.Free && t.Serving && !d.ordered[t.ID] {
+		if t := &d.Targets[i]; t.AcceptsOrders && t.Serving && !d.ordered[t.ID] {
 			out = append(out, t)
 		}
 	}
--- a/internal/placement/swap/odd_test.go
+++ b/internal/placement/swap/odd_test.go
@@ -33,13 +33,13 @@
 		"no models":                       {route.Engine{MemoryMB: 30}, []Target{targetWith("a")}, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			round := Plan(&View{
-				Now: now, Engine: &c.engine, Targets: c.targets, StoreLoads: 4, StoreEnds: []time.Duration{0},
-				Wants: []Want{waiting("m0"), waiting("unknown")}, Habit: map[string]float64{"m0": 1},
+			round := Decide(&Snapshot{
+				Now: now, Engine: &c.engine, Targets: c.targets, FreeStoreLoads: 4, StoreLoadsEndIn: []time.Duration{0},
+				Demands: []Demand{waiting("m0"), waiting("unknown")}, LongTermRate: map[string]float64{"m0": 1},
 			})
 
-			assert.Equal(t, len(round.Moves), c.loads)
-			assert.Equal(t, round.Ready["m0"] == never, c.never)
+			assert.Equal(t, len(round.Swaps), c.loads)
+			assert.Equal(t, round.ReadyIn["m0"] == never, c.never)
 		})
 	}
 }
--- a/internal/placement/swap/replica.go
+++ b/internal/placement/swap/replica.go
@@ -31,7 +31,7 @@
 	return max(1, int(fraction*float64(e.Concurrency(e.Slots))))
 }
 
-func (d *decider) placeDemanded(dem Want) {
+func (d *decider) placeDemanded(dem Demand) {
 	m, known := d.Engine.Models[dem.Model]
 	if !known {
 		return
@@ -48,7 +48,7 @@
 // addReplicas adds replicas of a crowded model, several at once. When demand
 // moves to another model, its requests accumulate on one replica within a
 // second. With one load after another, they would wait for all the loads.
-func (d *decider) addReplicas(m route.Model, dem Want) {
+func (d *decider) addReplicas(m route.Model, dem Demand) {
 	perReplica := crowdedAbove(d.Engine)
 	desired := (dem.Waiting + dem.Running + perReplica - 1) / perReplica
 
@@ -65,7 +65,7 @@
 // model from its own disk. The last load of the store is reserved for models
 // without a replica, unless the requests above the limit arrive at highWorth or
 // more.
-func (d *decider) isOverloaded(dem Want) bool {
+func (d *decider) isOverloaded(dem Demand) bool {
 	requests := dem.Waiting + dem.Running
 	surplus := requests - overloadedAbove(d.Engine)*d.replicas[dem.Model]
 
--- a/internal/placement/swap/room.go
+++ b/internal/placement/swap/room.go
@@ -34,7 +34,7 @@
 
 // victim is a model that could be evicted.
 type victim struct {
-	Resident
+	ResidentModel
 
 	loss float64
 }
@@ -43,7 +43,7 @@
 // adapters take.
 func (d *decider) freeMB(t *Target) float64 {
 	free := d.usableMB
-	for _, r := range t.Held {
+	for _, r := range t.Models {
 		free -= d.Engine.Models[r.Model].MB
 	}
 
@@ -94,7 +94,7 @@
 }
 
 // limitsFor returns the limits for a load that serves the demand.
-func (d *decider) limitsFor(dem Want) evictionLimits {
+func (d *decider) limitsFor(dem Demand) evictionLimits {
 	served := max(d.Rate[dem.Model], float64(dem.Waiting)) / float64(d.replicas[dem.Model]+1)
 	urgent := dem.Waiting > 0 && dem.Deadline.Sub(d.Now) <= urgentBefore
 
@@ -106,8 +106,8 @@
 func (d *decider) victims(t *Target) []victim {
 	var out []victim
 
-	for _, r := range t.Held {
-		if r.Coming || d.Now.Sub(r.Used) < minIdleTime || d.demandOf[r.Model].Waiting > 0 {
+	for _, r := range t.Models {
+		if r.Loading || d.Now.Sub(r.LastUsed) < minIdleTime || d.demandOf[r.Model].Waiting > 0 {
 			continue
 		}
 
@@ -118,7 +118,7 @@
 		return cmp.Or(
 			cmp.Compare(min(a.Running, 1), min(b.Running, 1)),
 			cmp.Compare(a.loss, b.loss),
-			a.Used.Compare(b.Used),
+			a.LastUsed.Compare(b.LastUsed),
 			cmp.Compare(a.Model, b.Model),
 		)
 	})
@@ -128,6 +128,6 @@
 
 // loss returns the arrival rate of requests that one replica of the model
 // serves.
-func (d *decider) loss(r Resident) float64 {
+func (d *decider) loss(r ResidentModel) float64 {
 	return d.Rate[r.Model] / float64(max(1, d.replicas[r.Model]))
 }
--- a/internal/placement/swap/store.go
+++ b/internal/placement/swap/store.go
@@ -45,7 +45,7 @@
 // storeLoad is a useful load from the weight store.
 type storeLoad struct {
 	model  route.Model
-	demand Want
+	demand Demand
 	reason Reason
 	// worth is the number of requests per second that the load is predicted to
 	// save.
@@ -81,13 +81,13 @@
 // isWanted reports whether requests wait for a model, or clients have been told
 // to come back for it.
 func (d *decider) isWanted(model string) bool {
-	return d.demandOf[model].Waiting > 0 || d.Habit[model] >= wantedRate
+	return d.demandOf[model].Waiting > 0 || d.LongTermRate[model] >= wantedRate
 }
 
 // promisedSince returns the time since which clients have been given a ready
 // time for the model, or now if they have not.
 func (d *decider) promisedSince(model string) time.Time {
-	if since, ok := d.Promised[model]; ok {
+	if since, ok := d.PromisedSince[model]; ok {
 		return since
 	}
 
@@ -115,7 +115,7 @@
 
 		l := storeLoad{model: m, demand: d.demandOf[m.Name], reason: ReasonAhead}
 		l.demand.Model = m.Name
-		rate := max(d.Rate[m.Name], d.Habit[m.Name], defaultRate)
+		rate := max(d.Rate[m.Name], d.LongTermRate[m.Name], defaultRate)
 
 		switch {
 		case d.nearby[m.Name] == 0 && d.isWanted(m.Name):
@@ -123,7 +123,7 @@
 		case d.nearby[m.Name] == 0:
 			l.worth = rate
 		default:
-			l.worth = rate * math.Pow(d.Risk, float64(d.nearby[m.Name]))
+			l.worth = rate * math.Pow(d.LossRisk, float64(d.nearby[m.Name]))
 		}
 
 		if d.nearby[m.Name] == 0 || l.worth >= minSpareWorth {
@@ -154,14 +154,14 @@
 	free := d.freeTargets()
 	mostIdle := len(free) > int(reservedTargets*float64(d.servingTargets()))
 	free = slices.DeleteFunc(free, func(t *Target) bool { return !mostIdle && !d.isBlank(t) })
-	slices.SortStableFunc(free, func(a, b *Target) int { return cmp.Compare(len(a.AtHand), len(b.AtHand)) })
+	slices.SortStableFunc(free, func(a, b *Target) int { return cmp.Compare(len(a.Cached), len(b.Cached)) })
 
 	return free
 }
 
 // isBlank reports whether the target has hardly any models cached.
 func (d *decider) isBlank(t *Target) bool {
-	return float64(len(t.AtHand)) <= blankFraction*d.meanCached
+	return float64(len(t.Cached)) <= blankFraction*d.meanCached
 }
 
 // loadAhead loads a model on one of the targets that have room for it. A load of
@@ -185,22 +185,22 @@
 
 // cheapest returns the swap on the target where it costs other models least. The
 // loss of its evictions does not exceed maxLoss.
-func (d *decider) cheapest(l storeLoad, targets []*Target, maxLoss float64, high bool) (Move, bool) {
-	var best Move
+func (d *decider) cheapest(l storeLoad, targets []*Target, maxLoss float64, high bool) (Swap, bool) {
+	var best Swap
 
 	least := math.Inf(1)
 
 	for _, t := range targets {
-		if d.ordered[t.ID] || holds(t, l.model.Name) || t.AtHand[l.model.Name] != 0 || !high && !d.fits(t, l.model) {
+		if d.ordered[t.ID] || holds(t, l.model.Name) || t.Cached[l.model.Name] != 0 || !high && !d.fits(t, l.model) {
 			continue
 		}
 
 		victims, loss, _, ok := d.makeRoom(t, l.model, evictionLimits{maxLoss: maxLoss})
-		cost := evictionWeight*loss + blockedWeight*float64(len(t.AtHand))
+		cost := evictionWeight*loss + blockedWeight*float64(len(t.Cached))
 
 		if ok && loss <= maxLoss && cost < least {
 			least = cost
-			best = Move{Target: t.ID, Unload: victims, Load: l.model.Name, Takes: d.storeLoadTime(l.model), From: target.TierRemote, For: ReasonAhead}
+			best = Swap{Target: t.ID, Unload: victims, Load: l.model.Name, LoadTime: d.storeLoadTime(l.model), Tier: target.TierRemote, Reason: ReasonAhead}
 		}
 	}
 
--- a/internal/placement/swap/store_test.go
+++ b/internal/placement/swap/store_test.go
@@ -24,7 +24,7 @@
 
 	cases := map[string]struct {
 		targets []Target
-		demands []Want
+		demands []Demand
 		rate    map[string]float64
 		risk    float64
 		store   int
@@ -32,13 +32,13 @@
 	}{
 		"busiest model before earliest deadline": {
 			empty,
-			[]Want{{Model: "m2", Waiting: 1, Deadline: now.Add(time.Second)}, {Model: "m3", Waiting: 1, Deadline: now.Add(time.Minute)}},
+			[]Demand{{Model: "m2", Waiting: 1, Deadline: now.Add(time.Second)}, {Model: "m3", Waiting: 1, Deadline: now.Add(time.Minute)}},
 			map[string]float64{"m2": 0.2, "m3": 30},
 			0, 1,
 			[]string{"m3 waiting"},
 		},
 		"waiting requests count as well as the rate": {
-			empty, []Want{{Model: "m2", Waiting: 1}, {Model: "m3", Waiting: 60}}, nil, 0, 1, []string{"m3 waiting"},
+			empty, []Demand{{Model: "m2", Waiting: 1}, {Model: "m3", Waiting: 60}}, nil, 0, 1, []string{"m3 waiting"},
 		},
 		"spare replica of the busiest model before its target is lost": {
 			[]Target{old(), targetWith("a")}, nil, map[string]float64{"m0": 30, "m2": 0.2}, 0.5, 2, []string{"m0 later"},
@@ -50,7 +50,7 @@
 			[]Target{old().older(), targetWith("a")}, nil, map[string]float64{"m0": 3, "m2": 0.2}, 0.2, 1, nil,
 		},
 		"load of high worth takes the last load": {
-			[]Target{old().older(), targetWith("a")}, []Want{waiting("m2")}, map[string]float64{"m0": 30, "m2": 0.2}, 0.5, 1, []string{"m0 later"},
+			[]Target{old().older(), targetWith("a")}, []Demand{waiting("m2")}, map[string]float64{"m0": 30, "m2": 0.2}, 0.5, 1, []string{"m0 later"},
 		},
 		"load of high worth evicts a model of low worth": {
 			[]Target{old().older(), targetWith("a", "m1", "m2", "m3")}, nil, map[string]float64{"m0": 30, "m1": 2, "m2": 0.1, "m3": 2}, 0.5, 1, []string{"m0 later"},
@@ -62,11 +62,11 @@
 
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			round := Plan(&View{Now: now, Engine: engine(6), Targets: c.targets, Wants: c.demands, Rate: c.rate, Risk: c.risk, StoreLoads: c.store})
+			round := Decide(&Snapshot{Now: now, Engine: engine(6), Targets: c.targets, Demands: c.demands, Rate: c.rate, LossRisk: c.risk, FreeStoreLoads: c.store})
 
 			var got []string
-			for _, m := range round.Moves {
-				got = append(got, fmt.Sprintf("%s %s", m.Load, m.For))
+			for _, m := range round.Swaps {
+				got = append(got, fmt.Sprintf("%s %s", m.Load, m.Reason))
 			}
 
 			assert.DeepEqual(t, got, c.want)
@@ -76,7 +76,7 @@
 
 // older returns the target with another id and with an order in flight.
 func (t Target) older() Target {
-	t.ID, t.Free, t.FreeIn = "older", false, time.Minute
+	t.ID, t.AcceptsOrders, t.OrderEndsIn = "older", false, time.Minute
 
 	return t
 }
@@ -85,16 +85,16 @@
 // store cannot load yet: after the loads in flight and after the loads of models
 // of higher worth.
 func TestPredictReady(t *testing.T) {
-	v := &View{
+	v := &Snapshot{
 		Now: now, Engine: engine(4), Targets: []Target{targetWith("a"), targetWith("b")},
-		Wants:     []Want{waiting("m0"), waiting("m1"), waiting("m2"), waiting("m3")},
-		Rate:      map[string]float64{"m0": 1, "m1": 4, "m2": 3, "m3": 2},
-		StoreEnds: []time.Duration{2 * time.Second}, StoreLoads: 1,
+		Demands:         []Demand{waiting("m0"), waiting("m1"), waiting("m2"), waiting("m3")},
+		Rate:            map[string]float64{"m0": 1, "m1": 4, "m2": 3, "m3": 2},
+		StoreLoadsEndIn: []time.Duration{2 * time.Second}, FreeStoreLoads: 1,
 	}
 
-	round := Plan(v)
-	assert.Equal(t, round.Moves[0].Load, "m1")
-	assert.DeepEqual(t, round.Ready, map[string]time.Duration{"m2": 8 * time.Second, "m3": 12 * time.Second, "m0": 14 * time.Second})
+	round := Decide(v)
+	assert.Equal(t, round.Swaps[0].Load, "m1")
+	assert.DeepEqual(t, round.ReadyIn, map[string]time.Duration{"m2": 8 * time.Second, "m3": 12 * time.Second, "m0": 14 * time.Second})
 }
 
 // TestEarliestPromiseFirst checks that, of models of the same worth, the one
@@ -102,17 +102,17 @@
 // waits for it at the moment. If newer requests for other models went first each
 // time, clients that come back at the promised time would be refused again.
 func TestEarliestPromiseFirst(t *testing.T) {
-	v := &View{
-		Now: now, Engine: engine(4), Targets: []Target{targetWith("a", "m3")}, StoreLoads: 1, Wants: []Want{waiting("m1"), waiting("m2")},
-		Rate:     map[string]float64{"m0": 0.05, "m1": 0.16, "m2": 0.16},
-		Habit:    map[string]float64{"m0": 0.2, "m1": 0.05, "m2": 0.05},
-		Promised: map[string]time.Time{"m0": now.Add(-5 * time.Second)},
+	v := &Snapshot{
+		Now: now, Engine: engine(4), Targets: []Target{targetWith("a", "m3")}, FreeStoreLoads: 1, Demands: []Demand{waiting("m1"), waiting("m2")},
+		Rate:          map[string]float64{"m0": 0.05, "m1": 0.16, "m2": 0.16},
+		LongTermRate:  map[string]float64{"m0": 0.2, "m1": 0.05, "m2": 0.05},
+		PromisedSince: map[string]time.Time{"m0": now.Add(-5 * time.Second)},
 	}
 
-	round := Plan(v)
-	assert.Equal(t, len(round.Moves), 1)
-	assert.Equal(t, round.Moves[0].Load, "m0")
-	assert.Equal(t, round.Moves[0].For, ReasonWaiting)
+	round := Decide(v)
+	assert.Equal(t, len(round.Swaps), 1)
+	assert.Equal(t, round.Swaps[0].Load, "m0")
+	assert.Equal(t, round.Swaps[0].Reason, ReasonWaiting)
 }
 
 // mostWorth returns the maximum total worth of the given number of loads.
@@ -132,7 +132,7 @@
 // first ones.
 func TestStoreAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		v := &View{Now: now, Engine: engine(8), Rate: map[string]float64{}, StoreLoads: rapid.IntRange(0, 4).Draw(t, "store")}
+		v := &Snapshot{Now: now, Engine: engine(8), Rate: map[string]float64{}, FreeStoreLoads: rapid.IntRange(0, 4).Draw(t, "store")}
 
 		for i := range rapid.IntRange(1, 5).Draw(t, "targets") {
 			v.Targets = append(v.Targets, targetWith(instance.ID(fmt.Sprint("t", i))))
@@ -144,22 +144,22 @@
 			v.Rate[m] = rapid.Float64Range(0, 10).Draw(t, "rate")
 
 			if rapid.Bool().Draw(t, "waits") {
-				v.Wants = append(v.Wants, waiting(m))
+				v.Demands = append(v.Demands, waiting(m))
 				worth = append(worth, max(v.Rate[m], defaultRate))
 			}
 		}
 
 		got := 0.0
 
-		for _, m := range Plan(v).Moves {
-			assert.Equal(t, m.From, target.TierRemote)
+		for _, m := range Decide(v).Swaps {
+			assert.Equal(t, m.Tier, target.TierRemote)
 
 			got += max(v.Rate[m.Load], defaultRate)
 		}
 
 		// Models that no request waits for may be loaded first, but only if
 		// their worth is higher.
-		most := mostWorth(worth, min(v.StoreLoads, len(v.Targets)))
+		most := mostWorth(worth, min(v.FreeStoreLoads, len(v.Targets)))
 		assert.Assert(t, got >= most-1e-9, "%v instead of %v", got, most)
 	})
 }
--- a/internal/placement/swap/swap.go
+++ b/internal/placement/swap/swap.go
@@ -19,37 +19,37 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/route"
 )
 
-// Resident is a model that is loaded, or being loaded, on a target.
-type Resident struct {
+// ResidentModel is a model that is loaded, or being loaded, on a target.
+type ResidentModel struct {
 	Model string
 	// Running is the number of requests that run on the model, over all entries.
 	Running int
-	// Used is when a request last ran or waited there; zero means never.
-	Used time.Time
-	// Coming reports that the load is still in progress.
-	Coming bool
+	// LastUsed is when a request last ran or waited there; zero means never.
+	LastUsed time.Time
+	// Loading reports that the load is still in progress.
+	Loading bool
 }
 
 // Target is the lease holder's state of a target.
 type Target struct {
 	ID instance.ID
-	// Free reports that no order is in flight there and that the target accepts
+	// AcceptsOrders reports that no order is in flight there and that the target accepts
 	// new ones.
-	Free bool
-	// FreeIn is the predicted time until the order in flight ends.
-	FreeIn time.Duration
+	AcceptsOrders bool
+	// OrderEndsIn is the predicted time until the order in flight ends.
+	OrderEndsIn time.Duration
 	// Serving reports that entries send requests there.
 	Serving bool
-	Held    []Resident
-	// AtHand is, for each model, the fastest tier of the target that has its
+	Models  []ResidentModel
+	// Cached is, for each model, the fastest tier of the target that has its
 	// weights. A model that is missing is loaded from the weight store.
-	AtHand map[string]target.Tier
+	Cached map[string]target.Tier
 	// Running is the number of requests that run on the target.
 	Running int
 }
 
-// Want is the demand for one model, summed over all entries.
-type Want struct {
+// Demand is the demand for one model, summed over all entries.
+type Demand struct {
 	Model            string
 	Waiting, Running int
 	// Deadline is the earliest deadline of the waiting requests.
@@ -60,54 +60,54 @@
 	Priority int
 }
 
-// View is the complete input of a decision round.
-type View struct {
+// Snapshot is the complete input of a decision round.
+type Snapshot struct {
 	Now    time.Time
 	Engine *route.Engine
 	// Targets are sorted by id.
 	Targets []Target
-	Wants   []Want
+	Demands []Demand
 	// Rate is the recent arrival rate of each model in requests per second,
 	// refused requests included.
 	Rate map[string]float64
-	// Habit is the same rate over a longer window, for loads whose benefit
+	// LongTermRate is the same rate over a longer window, for loads whose benefit
 	// should last.
-	Habit map[string]float64
-	// Promised is, for each model that the weight store could not load yet, the
+	LongTermRate map[string]float64
+	// PromisedSince is, for each model that the weight store could not load yet, the
 	// time since which clients have been given a ready time.
-	Promised map[string]time.Time
-	// Risk is the probability that a target is lost before its models have
+	PromisedSince map[string]time.Time
+	// LossRisk is the probability that a target is lost before its models have
 	// another replica.
-	Risk float64
-	// StoreLoads is the number of loads from the weight store that may start
+	LossRisk float64
+	// FreeStoreLoads is the number of loads from the weight store that may start
 	// now, and StoreEnds holds the predicted remaining times of those in flight.
-	StoreLoads int
-	StoreEnds  []time.Duration
-	// StoreSlower is the factor by which the loads in flight slow down another
+	FreeStoreLoads  int
+	StoreLoadsEndIn []time.Duration
+	// StoreSlowdown is the factor by which the loads in flight slow down another
 	// load from the weight store; zero counts as one.
-	StoreSlower float64
+	StoreSlowdown float64
 }
 
-// Move is a load together with the unloads that make room for it.
-type Move struct {
+// Swap is a load together with the unloads that make room for it.
+type Swap struct {
 	Target instance.ID
 	Unload []string
 	Load   string
-	// Takes is the predicted duration of the load once the engine has accepted
+	// LoadTime is the predicted duration of the load once the engine has accepted
 	// it.
-	Takes time.Duration
-	From  target.Tier
-	// For says why the model is loaded.
-	For Reason
+	LoadTime time.Duration
+	Tier     target.Tier
+	// Reason says why the model is loaded.
+	Reason Reason
 }
 
-// Round is the result of a decision round.
-type Round struct {
-	// Moves are the loads to start now, the most urgent first.
-	Moves []Move
-	// Ready is the predicted time until a model is ready, for models that
+// Decisions is the result of a decision round.
+type Decisions struct {
+	// Swaps are the loads to start now, the most urgent first.
+	Swaps []Swap
+	// ReadyIn is the predicted time until a model is ready, for models that
 	// requests wait for and that the weight store cannot load yet.
-	Ready map[string]time.Duration
+	ReadyIn map[string]time.Duration
 }
 
 // Reason says why a model is loaded.
@@ -127,15 +127,15 @@
 // decider collects the swaps of one round. Each of them takes those before it
 // into account.
 type decider struct {
-	*View
+	*Snapshot
 
-	swaps []Move
+	swaps []Swap
 	// ordered are the targets that have a swap in this round.
 	ordered map[instance.ID]bool
 	// reserved is, for each target, the total load time of the models that wait
 	// for it.
 	reserved map[instance.ID]time.Duration
-	demandOf map[string]Want
+	demandOf map[string]Demand
 	// replicas is the number of serving targets that have the model or are
 	// loading it. nearby is the number of serving targets that have its weights
 	// in memory or on disk.
@@ -156,15 +156,15 @@
 	readyIn         map[string]time.Duration
 }
 
-// Plan decides which swaps to start now.
-func Plan(v *View) Round {
+// Decide decides which swaps to start now.
+func Decide(v *Snapshot) Decisions {
 	d := &decider{
-		View: v, ordered: make(map[instance.ID]bool), reserved: make(map[instance.ID]time.Duration), demandOf: make(map[string]Want, len(v.Wants)),
-		replicas: make(map[string]int), nearby: make(map[string]int), usableMB: v.Engine.MemoryMB - adapterReserveMB(v.Engine), freeStoreLoads: v.StoreLoads,
-		storeLoadsEndIn: slices.Clone(v.StoreEnds), readyIn: make(map[string]time.Duration),
+		Snapshot: v, ordered: make(map[instance.ID]bool), reserved: make(map[instance.ID]time.Duration), demandOf: make(map[string]Demand, len(v.Demands)),
+		replicas: make(map[string]int), nearby: make(map[string]int), usableMB: v.Engine.MemoryMB - adapterReserveMB(v.Engine), freeStoreLoads: v.FreeStoreLoads,
+		storeLoadsEndIn: slices.Clone(v.StoreLoadsEndIn), readyIn: make(map[string]time.Duration),
 	}
 
-	for _, dem := range v.Wants {
+	for _, dem := range v.Demands {
 		d.demandOf[dem.Model] = dem
 	}
 
@@ -178,7 +178,7 @@
 	d.loadFromStore()
 	d.loadAheadFromCache()
 
-	return Round{Moves: d.swaps, Ready: d.readyIn}
+	return Decisions{Swaps: d.swaps, ReadyIn: d.readyIn}
 }
 
 // countReplicas counts where models are loaded and cached.
@@ -191,18 +191,18 @@
 			continue
 		}
 
-		total += len(t.AtHand)
+		total += len(t.Cached)
 		serving++
 
-		for _, r := range t.Held {
+		for _, r := range t.Models {
 			d.replicas[r.Model]++
 
-			if t.AtHand[r.Model] == 0 {
+			if t.Cached[r.Model] == 0 {
 				d.nearby[r.Model]++
 			}
 		}
 
-		for model := range t.AtHand {
+		for model := range t.Cached {
 			d.nearby[model]++
 		}
 	}
@@ -211,10 +211,10 @@
 }
 
 // add adds a swap to the round.
-func (d *decider) add(m Move) {
-	if m.From == target.TierRemote {
+func (d *decider) add(m Swap) {
+	if m.Tier == target.TierRemote {
 		d.freeStoreLoads--
-		d.storeLoadsEndIn = append(d.storeLoadsEndIn, m.Takes)
+		d.storeLoadsEndIn = append(d.storeLoadsEndIn, m.LoadTime)
 	}
 
 	d.ordered[m.Target] = true
@@ -228,7 +228,7 @@
 
 // candidate is a target for a load, with what the load would cost there.
 type candidate struct {
-	swap Move
+	swap Swap
 	cost float64
 	// free reports that the target could start the load now.
 	free bool
@@ -243,12 +243,12 @@
 // that have the weights on disk are busy for a second. A load from the store
 // takes six seconds, during which its target accepts no other order, so a few of
 // them force the next models to be loaded from the store as well.
-func (d *decider) place(m route.Model, dem Want, reason Reason, limits evictionLimits) {
+func (d *decider) place(m route.Model, dem Demand, reason Reason, limits evictionLimits) {
 	var best *candidate
 
 	for i := range d.Targets {
 		t := &d.Targets[i]
-		if !t.Serving || d.ordered[t.ID] || holds(t, m.Name) || !t.Free && reason == ReasonCrowded {
+		if !t.Serving || d.ordered[t.ID] || holds(t, m.Name) || !t.AcceptsOrders && reason == ReasonCrowded {
 			continue
 		}
 
@@ -262,7 +262,7 @@
 	}
 
 	if !best.free {
-		d.reserved[best.swap.Target] += best.swap.Takes
+		d.reserved[best.swap.Target] += best.swap.LoadTime
 
 		return
 	}
@@ -271,7 +271,7 @@
 }
 
 func holds(t *Target, model string) bool {
-	return slices.ContainsFunc(t.Held, func(r Resident) bool { return r.Model == model })
+	return slices.ContainsFunc(t.Models, func(r ResidentModel) bool { return r.Model == model })
 }
 
 // evictionWeight converts the eviction of a model into seconds of delay:
@@ -288,7 +288,7 @@
 // target, because all requests of a batch share its steps.
 const runningWeight = 0.02
 
-func (d *decider) consider(t *Target, m route.Model, dem Want, reason Reason, limits evictionLimits) (candidate, bool) {
+func (d *decider) consider(t *Target, m route.Model, dem Demand, reason Reason, limits evictionLimits) (candidate, bool) {
 	tier, loadTime := d.tierAndTime(t, m)
 	if tier == target.TierRemote && (d.freeStoreLoads <= 0 || reason == ReasonCrowded && !d.isOverloaded(dem)) {
 		return candidate{}, false
@@ -307,21 +307,21 @@
 	}
 
 	if tier == target.TierRemote {
-		wait += time.Duration(blockedWeight * float64(len(t.AtHand)) * float64(time.Second))
+		wait += time.Duration(blockedWeight * float64(len(t.Cached)) * float64(time.Second))
 	}
 
 	reserved := d.reserved[t.ID]
 
 	return candidate{
-		swap: Move{Target: t.ID, Unload: victims, Load: m.Name, Takes: loadTime, From: tier, For: reason},
-		cost: (t.FreeIn + reserved + loadTime + wait).Seconds() + evictionWeight*loss + runningWeight*float64(t.Running) +
+		swap: Swap{Target: t.ID, Unload: victims, Load: m.Name, LoadTime: loadTime, Tier: tier, Reason: reason},
+		cost: (t.OrderEndsIn + reserved + loadTime + wait).Seconds() + evictionWeight*loss + runningWeight*float64(t.Running) +
 			contentionWeight*d.contentionFor(t, m.Name),
-		free: ok && t.Free && reserved == 0,
+		free: ok && t.AcceptsOrders && reserved == 0,
 	}, true
 }
 
 func (d *decider) tierAndTime(t *Target, m route.Model) (target.Tier, time.Duration) {
-	switch t.AtHand[m.Name] {
+	switch t.Cached[m.Name] {
 	case target.TierMemory:
 		return target.TierMemory, m.FromMemory
 	case target.TierDisk:
@@ -335,5 +335,5 @@
 // storeLoadTime returns the duration of a load of the model from the weight
 // store that starts now.
 func (d *decider) storeLoadTime(m route.Model) time.Duration {
-	return time.Duration(float64(m.FromStore) * max(1, d.StoreSlower))
+	return time.Duration(float64(m.FromStore) * max(1, d.StoreSlowdown))
 }
--- a/internal/placement/swap/swap_test.go
+++ b/internal/placement/swap/swap_test.go
@@ -31,9 +31,9 @@
 
 // targetWith returns a target that holds models, all last used a minute ago.
 func targetWith(id instance.ID, models ...string) Target {
-	t := Target{ID: id, Free: true, Serving: true, AtHand: map[string]target.Tier{}}
+	t := Target{ID: id, AcceptsOrders: true, Serving: true, Cached: map[string]target.Tier{}}
 	for _, m := range models {
-		t.Held = append(t.Held, Resident{Model: m, Used: now.Add(-time.Minute)})
+		t.Models = append(t.Models, ResidentModel{Model: m, LastUsed: now.Add(-time.Minute)})
 	}
 
 	return t
@@ -41,29 +41,29 @@
 
 func (t Target) withDisk(models ...string) Target {
 	for _, m := range models {
-		t.AtHand[m] = target.TierDisk
+		t.Cached[m] = target.TierDisk
 	}
 
 	return t
 }
 
-func waiting(model string) Want {
-	return Want{Model: model, Waiting: 1, Deadline: now.Add(10 * time.Second)}
+func waiting(model string) Demand {
+	return Demand{Model: model, Waiting: 1, Deadline: now.Add(10 * time.Second)}
 }
 
 func TestDecide(t *testing.T) {
 	busy := targetWith("a", "m0").withDisk("m3")
-	busy.Free, busy.FreeIn = false, time.Second
+	busy.AcceptsOrders, busy.OrderEndsIn = false, time.Second
 
 	long := busy
-	long.FreeIn = 9 * time.Second
+	long.OrderEndsIn = 9 * time.Second
 
 	running := targetWith("a", "m0", "m1", "m2")
-	running.Held[0].Running = 1
+	running.Models[0].Running = 1
 
 	allRun := targetWith("a", "m0", "m1", "m2").withDisk("m3")
-	for i := range allRun.Held {
-		allRun.Held[i].Running = 1
+	for i := range allRun.Models {
+		allRun.Models[i].Running = 1
 	}
 
 	waitMany := waiting("m3")
@@ -74,48 +74,48 @@
 
 	cases := map[string]struct {
 		targets []Target
-		demands []Want
+		demands []Demand
 		rate    map[string]float64
 		// want is the swaps as target, load and unloads.
 		want []string
 	}{
-		"from disk rather than from the store":                                       {[]Target{targetWith("a"), targetWith("b").withDisk("m3")}, []Want{waiting("m3")}, nil, []string{"b m3 []"}},
-		"from the store if no target has the weights":                                {[]Target{targetWith("a")}, []Want{waiting("m3")}, nil, []string{"a m3 []"}},
-		"no load of a resident model":                                                {[]Target{targetWith("a", "m3")}, []Want{waiting("m3")}, nil, nil},
-		"no order to a target with an order in flight":                               {[]Target{busy}, []Want{waiting("m3")}, nil, nil},
-		"wait for a target with the weights on disk rather than load from the store": {[]Target{busy, targetWith("b")}, []Want{waiting("m3")}, nil, nil},
-		"from the store if the target with the weights is busy for long":             {[]Target{long, targetWith("b")}, []Want{waiting("m3")}, nil, []string{"b m3 []"}},
-		"idle model is evicted":                                                      {[]Target{running.withDisk("m3")}, []Want{waiting("m3")}, nil, []string{"a m3 [m1]"}},
+		"from disk rather than from the store":                                       {[]Target{targetWith("a"), targetWith("b").withDisk("m3")}, []Demand{waiting("m3")}, nil, []string{"b m3 []"}},
+		"from the store if no target has the weights":                                {[]Target{targetWith("a")}, []Demand{waiting("m3")}, nil, []string{"a m3 []"}},
+		"no load of a resident model":                                                {[]Target{targetWith("a", "m3")}, []Demand{waiting("m3")}, nil, nil},
+		"no order to a target with an order in flight":                               {[]Target{busy}, []Demand{waiting("m3")}, nil, nil},
+		"wait for a target with the weights on disk rather than load from the store": {[]Target{busy, targetWith("b")}, []Demand{waiting("m3")}, nil, nil},
+		"from the store if the target with the weights is busy for long":             {[]Target{long, targetWith("b")}, []Demand{waiting("m3")}, nil, []string{"b m3 []"}},
+		"idle model is evicted":                                                      {[]Target{running.withDisk("m3")}, []Demand{waiting("m3")}, nil, []string{"a m3 [m1]"}},
 		"model with the lowest rate is evicted": {
-			[]Target{targetWith("a", "m0", "m1", "m2").withDisk("m3")}, []Want{waiting("m3")}, map[string]float64{"m0": 1, "m1": 0.5, "m2": 2}, []string{"a m3 [m1]"},
+			[]Target{targetWith("a", "m0", "m1", "m2").withDisk("m3")}, []Demand{waiting("m3")}, map[string]float64{"m0": 1, "m1": 0.5, "m2": 2}, []string{"a m3 [m1]"},
 		},
 		"model with another replica is evicted": {
 			[]Target{targetWith("a", "m0", "m1", "m2").withDisk("m3"), targetWith("b", "m2", "m4", "m5")},
-			[]Want{waiting("m3")},
+			[]Demand{waiting("m3")},
 			map[string]float64{"m0": 1, "m1": 1, "m2": 1},
 			[]string{"a m3 [m2]"},
 		},
 		"models with waiting requests are not evicted": {
-			[]Target{targetWith("a", "m0", "m1", "m2").withDisk("m3")}, []Want{waiting("m0"), waiting("m1"), waiting("m2"), waiting("m3")}, nil, nil,
+			[]Target{targetWith("a", "m0", "m1", "m2").withDisk("m3")}, []Demand{waiting("m0"), waiting("m1"), waiting("m2"), waiting("m3")}, nil, nil,
 		},
 		"wait for memory where the weights are rather than load from the store": {
-			[]Target{targetWith("a", "m0", "m1", "m2").withDisk("m3"), targetWith("b")}, []Want{waiting("m0"), waiting("m1"), waiting("m2"), waiting("m3")}, nil, nil,
+			[]Target{targetWith("a", "m0", "m1", "m2").withDisk("m3"), targetWith("b")}, []Demand{waiting("m0"), waiting("m1"), waiting("m2"), waiting("m3")}, nil, nil,
 		},
-		"running model is not evicted for one waiting request": {[]Target{allRun}, []Want{waiting("m3")}, nil, nil},
-		"running model is evicted for many waiting requests":   {[]Target{allRun}, []Want{waitMany}, nil, []string{"a m3 [m0]"}},
-		"running model is evicted shortly before a deadline":   {[]Target{allRun}, []Want{last}, nil, []string{"a m3 [m0]"}},
+		"running model is not evicted for one waiting request": {[]Target{allRun}, []Demand{waiting("m3")}, nil, nil},
+		"running model is evicted for many waiting requests":   {[]Target{allRun}, []Demand{waitMany}, nil, []string{"a m3 [m0]"}},
+		"running model is evicted shortly before a deadline":   {[]Target{allRun}, []Demand{last}, nil, []string{"a m3 [m0]"}},
 		"two models on two targets": {
-			[]Target{targetWith("a").withDisk("m3", "m4"), targetWith("b").withDisk("m3", "m4")}, []Want{waiting("m3"), waiting("m4")}, nil, []string{"a m3 []", "b m4 []"},
+			[]Target{targetWith("a").withDisk("m3", "m4"), targetWith("b").withDisk("m3", "m4")}, []Demand{waiting("m3"), waiting("m4")}, nil, []string{"a m3 []", "b m4 []"},
 		},
 		"another replica of a crowded model": {
-			[]Target{targetWith("a", "m0"), targetWith("b").withDisk("m0")}, []Want{{Model: "m0", Running: crowdedAbove(engine(6)) + 1}}, nil, []string{"b m0 []"},
+			[]Target{targetWith("a", "m0"), targetWith("b").withDisk("m0")}, []Demand{{Model: "m0", Running: crowdedAbove(engine(6)) + 1}}, nil, []string{"b m0 []"},
 		},
-		"no load of an unknown model": {[]Target{targetWith("a")}, []Want{waiting("other")}, nil, nil},
+		"no load of an unknown model": {[]Target{targetWith("a")}, []Demand{waiting("other")}, nil, nil},
 	}
 
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			moves := Plan(&View{Now: now, Engine: engine(6), Targets: c.targets, Wants: c.demands, Rate: c.rate, StoreLoads: 1}).Moves
+			moves := Decide(&Snapshot{Now: now, Engine: engine(6), Targets: c.targets, Demands: c.demands, Rate: c.rate, FreeStoreLoads: 1}).Swaps
 
 			var got []string
 			for _, m := range moves {
@@ -147,10 +147,10 @@
 		"high rate, small surplus":          {overloadedAbove(engine(1)) + 1, reservedStoreLoads, 2 * highWorth, false},
 		"many requests, low recent rate":    {4 * overloadedAbove(engine(1)), reservedStoreLoads, highWorth / 2, false},
 	} {
-		moves := Plan(&View{
-			Now: now, Engine: engine(1), Targets: []Target{targetWith("a", "m0"), targetWith("b")}, Wants: []Want{{Model: "m0", Running: c.running}}, StoreLoads: c.store,
+		moves := Decide(&Snapshot{
+			Now: now, Engine: engine(1), Targets: []Target{targetWith("a", "m0"), targetWith("b")}, Demands: []Demand{{Model: "m0", Running: c.running}}, FreeStoreLoads: c.store,
 			Rate: map[string]float64{"m0": c.rate},
-		}).Moves
+		}).Swaps
 		assert.Equal(t, len(moves) == 1, c.want, name)
 	}
 }
@@ -175,9 +175,9 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			var got []string
-			for _, m := range Plan(&View{Now: now, Engine: engine(6), Targets: c.targets, StoreLoads: c.store}).Moves {
-				got = append(got, fmt.Sprintf("%s %s %t", m.Target, m.Load, m.From == target.TierRemote))
-				assert.Equal(t, m.For, ReasonAhead)
+			for _, m := range Decide(&Snapshot{Now: now, Engine: engine(6), Targets: c.targets, FreeStoreLoads: c.store}).Swaps {
+				got = append(got, fmt.Sprintf("%s %s %t", m.Target, m.Load, m.Tier == target.TierRemote))
+				assert.Equal(t, m.Reason, ReasonAhead)
 			}
 
 			assert.DeepEqual(t, got, c.want)
@@ -199,68 +199,68 @@
 				}
 			}
 		}))
-		v := &View{Now: now, Engine: e, Rate: map[string]float64{}, StoreLoads: rapid.IntRange(0, 3).Draw(t, "store")}
+		v := &Snapshot{Now: now, Engine: e, Rate: map[string]float64{}, FreeStoreLoads: rapid.IntRange(0, 3).Draw(t, "store")}
 
 		for i := range rapid.IntRange(1, 6).Draw(t, "targets") {
 			held := rapid.SliceOfNDistinct(models, 0, 3, rapid.ID).Draw(t, "held")
 			one := targetWith(instance.ID(fmt.Sprintf("t%d", i)), held...).withDisk(rapid.SliceOfN(models, 0, 5).Draw(t, "disk")...)
-			one.Free = rapid.Bool().Draw(t, "free")
+			one.AcceptsOrders = rapid.Bool().Draw(t, "free")
 
-			for j := range one.Held {
-				one.Held[j].Running = rapid.IntRange(0, 2).Draw(t, "running")
-				one.Held[j].Coming = rapid.Bool().Draw(t, "coming") && !one.Free
+			for j := range one.Models {
+				one.Models[j].Running = rapid.IntRange(0, 2).Draw(t, "running")
+				one.Models[j].Loading = rapid.Bool().Draw(t, "coming") && !one.AcceptsOrders
 			}
 
 			v.Targets = append(v.Targets, one)
 		}
 
 		for _, m := range rapid.SliceOfNDistinct(models, 0, 12, rapid.ID).Draw(t, "wanted") {
-			v.Wants = append(v.Wants, waiting(m))
+			v.Demands = append(v.Demands, waiting(m))
 			v.Rate[m] = rapid.Float64Range(0, 5).Draw(t, "rate")
 		}
 
 		seen := make(map[instance.ID]bool)
 		store := 0
 
-		for _, m := range Plan(v).Moves {
+		for _, m := range Decide(v).Swaps {
 			i := slices.IndexFunc(v.Targets, func(t Target) bool { return t.ID == m.Target })
 			at := v.Targets[i]
 
-			assert.Assert(t, at.Free && !seen[m.Target])
+			assert.Assert(t, at.AcceptsOrders && !seen[m.Target])
 			seen[m.Target] = true
 
 			assert.Assert(t, !holds(&at, m.Load))
-			assert.Assert(t, len(at.Held)-len(m.Unload)+1 <= 3)
+			assert.Assert(t, len(at.Models)-len(m.Unload)+1 <= 3)
 
 			for _, u := range m.Unload {
 				assert.Assert(t, holds(&at, u))
-				assert.Assert(t, !slices.ContainsFunc(v.Wants, func(w Want) bool { return w.Model == u }))
+				assert.Assert(t, !slices.ContainsFunc(v.Demands, func(w Demand) bool { return w.Model == u }))
 			}
 
-			if m.From == target.TierRemote {
+			if m.Tier == target.TierRemote {
 				store++
 			}
 		}
 
-		assert.Assert(t, store <= v.StoreLoads)
+		assert.Assert(t, store <= v.FreeStoreLoads)
 	})
 }
 
 func TestPlaceAdapter(t *testing.T) {
 	old := now.Add(-time.Minute)
-	full := []AdapterOn{{Name: "m/a", Used: old.Add(time.Second)}, {Name: "m/b", Used: old}}
-	inUse := []AdapterOn{{Name: "m/a", Running: 1}, {Name: "m/b", Used: now}}
+	full := []LoadedAdapter{{Name: "m/a", LastUsed: old.Add(time.Second)}, {Name: "m/b", LastUsed: old}}
+	inUse := []LoadedAdapter{{Name: "m/a", Running: 1}, {Name: "m/b", LastUsed: now}}
 
 	cases := map[string]struct {
-		sites []Site
-		want  AdapterMove
+		sites []AdapterTarget
+		want  AdapterSwap
 		ok    bool
 	}{
-		"free slot":                                    {[]Site{{ID: "a", Adapters: full}, {ID: "b", Running: 9}}, AdapterMove{Target: "b"}, true},
-		"target with fewer running requests":           {[]Site{{ID: "a", Running: 2}, {ID: "b", Running: 1}}, AdapterMove{Target: "b"}, true},
-		"least recently used idle adapter is unloaded": {[]Site{{ID: "a", Adapters: full}}, AdapterMove{Target: "a", Unload: "m/b"}, true},
-		"adapters in use are not unloaded":             {[]Site{{ID: "a", Adapters: inUse}}, AdapterMove{}, false},
-		"no target has the model":                      {nil, AdapterMove{}, false},
+		"free slot":                                    {[]AdapterTarget{{ID: "a", Adapters: full}, {ID: "b", Running: 9}}, AdapterSwap{Target: "b"}, true},
+		"target with fewer running requests":           {[]AdapterTarget{{ID: "a", Running: 2}, {ID: "b", Running: 1}}, AdapterSwap{Target: "b"}, true},
+		"least recently used idle adapter is unloaded": {[]AdapterTarget{{ID: "a", Adapters: full}}, AdapterSwap{Target: "a", Unload: "m/b"}, true},
+		"adapters in use are not unloaded":             {[]AdapterTarget{{ID: "a", Adapters: inUse}}, AdapterSwap{}, false},
+		"no target has the model":                      {nil, AdapterSwap{}, false},
 	}
 
 	for name, c := range cases {
@@ -278,12 +278,12 @@
 func BenchmarkDecide(b *testing.B) {
 	for _, size := range []struct{ targets, models int }{{12, 65}, {18, 101}, {60, 195}, {94, 500}, {140, 431}, {1000, 4000}} {
 		b.Run(fmt.Sprintf("%dx%d", size.targets, size.models), func(b *testing.B) {
-			v := &View{Now: now, Engine: engine(size.models), StoreLoads: 4, Rate: map[string]float64{}}
+			v := &Snapshot{Now: now, Engine: engine(size.models), FreeStoreLoads: 4, Rate: map[string]float64{}}
 
 			for i := range size.targets {
 				one := targetWith(instance.ID(fmt.Sprintf("t%04d", i)))
 				for j := range 3 {
-					one.Held = append(one.Held, Resident{Model: fmt.Sprintf("m%d", (i*3+j)%size.models), Used: now.Add(-time.Minute)})
+					one.Models = append(one.Models, ResidentModel{Model: fmt.Sprintf("m%d", (i*3+j)%size.models), LastUsed: now.Add(-time.Minute)})
 				}
 
 				for j := range 20 {
@@ -294,11 +294,11 @@
 			}
 
 			for i := 0; i < size.models; i += 10 {
-				v.Wants = append(v.Wants, waiting(fmt.Sprintf("m%d", i)))
+				v.Demands = append(v.Demands, waiting(fmt.Sprintf("m%d", i)))
 			}
 
 			for b.Loop() {
-				Plan(v)
+				Decide(v)
 			}
 		})
 	}
--- a/internal/placement/swap/urgency.go
+++ b/internal/placement/swap/urgency.go
@@ -20,7 +20,7 @@
 func (d *decider) countContention() {
 	d.contention = make(map[instance.ID][]contender)
 
-	for _, dem := range d.Wants {
+	for _, dem := range d.Demands {
 		if d.replicas[dem.Model] > 0 || dem.Waiting == 0 {
 			continue
 		}
@@ -28,7 +28,7 @@
 		var ids []instance.ID
 
 		for i := range d.Targets {
-			if t := &d.Targets[i]; t.Free && t.Serving && t.AtHand[dem.Model] != 0 {
+			if t := &d.Targets[i]; t.AcceptsOrders && t.Serving && t.Cached[dem.Model] != 0 {
 				ids = append(ids, t.ID)
 			}
 		}
@@ -59,9 +59,9 @@
 // targets can accept. An order by deadline alone would serve the requests that
 // have waited longest first, and nearly all would start late. A request that has
 // already missed its goal can wait until its deadline is near.
-func (d *decider) byUrgency() []Want {
-	sorted := slices.Clone(d.Wants)
-	slices.SortStableFunc(sorted, func(a, b Want) int {
+func (d *decider) byUrgency() []Demand {
+	sorted := slices.Clone(d.Demands)
+	slices.SortStableFunc(sorted, func(a, b Demand) int {
 		dueA, canWaitA := d.dueAt(&a)
 		dueB, canWaitB := d.dueAt(&b)
 
@@ -81,7 +81,7 @@
 const urgentBefore = 1500 * time.Millisecond
 
 // dueAt returns when a demand is due, and 1 if it can wait for others, else 0.
-func (d *decider) dueAt(dem *Want) (time.Time, int) {
+func (d *decider) dueAt(dem *Demand) (time.Time, int) {
 	if !dem.Goal.IsZero() && d.Now.Add(d.Engine.Models[dem.Model].FromDisk).Before(dem.Goal) {
 		return dem.Goal, 0
 	}
