--- a/internal/fleet/entry/entry.go
+++ b/internal/fleet/entry/entry.go
@@ -285,7 +285,7 @@
 		Log:             &e.log,
 		Logger:          e.logger,
 		Timing:          e.cfg.Lease,
-		Policy:          replica.Weigh(e.cfg.ColdStartWeight),
+		Policy:          replica.WeightsFor(e.cfg.ColdStartWeight),
 		LoadLimit:       share.Amount{Models: e.cfg.Loads, Adapters: e.cfg.AdapterLoads},
 		RequestShare:    ask,
 		BytesPerSecond:  e.cfg.BytesPerSecond,
--- a/internal/measure/figure/capacity.go
+++ b/internal/measure/figure/capacity.go
@@ -227,9 +227,9 @@
 func decide(targets int) cost {
 	const perTarget, gib = 30, int64(1) << 30
 
-	v := &replica.View{
-		Now: time.Now(), Book: &ledger.Ledger{}, Models: make(map[string]weight.Checkpoint), FreeLoads: 4,
-		FreeAdapterLoads: 32, BytesPerSecond: 1e9, Terms: replica.Weigh(0.5),
+	v := &replica.Snapshot{
+		Now: time.Now(), Ledger: &ledger.Ledger{}, Models: make(map[string]weight.Checkpoint), FreeLoads: 4,
+		FreeAdapterLoads: 32, BytesPerSecond: 1e9, Weights: replica.WeightsFor(0.5),
 	}
 
 	for i := range targets {
@@ -238,7 +238,7 @@
 		for j := range perTarget {
 			name := fmt.Sprintf("adapter-%06d", i*perTarget+j)
 			v.Models[name] = weight.Checkpoint{Name: name, Bytes: gib}
-			_, _ = v.Book.Reserve(ledger.Row{
+			_, _ = v.Ledger.Reserve(ledger.Row{
 				Key: ledger.Key{Target: id("target", i), Model: name}, Bytes: gib, Version: 1,
 				State: ledger.State{Phase: target.Ready, Since: v.Now, LastUsed: v.Now},
 			}, 80*gib)
--- a/internal/measure/replay/act.go
+++ b/internal/measure/replay/act.go
@@ -23,13 +23,13 @@
 			w.load(d)
 		case replica.Retire:
 			w.retire(ledger.Key{Target: d.Target, Model: d.Model})
-		case replica.Revive:
+		case replica.CancelRetire:
 			if r := w.book.Row(ledger.Key{Target: d.Target, Model: d.Model}); r != nil {
 				r.State.Retiring = false
 
 				w.drain(d.Model)
 			}
-		case replica.Expect, replica.Deny:
+		case replica.Predict, replica.Deny:
 		}
 	}
 }
@@ -208,10 +208,10 @@
 }
 
 // view is what the product's decisions see.
-func (w *world) view(terms replica.Terms) *replica.View {
-	return &replica.View{
-		Now: w.now, Targets: w.targets, Book: &w.book, Models: w.site.Models, Demand: w.demand(),
+func (w *world) view(terms replica.Weights) *replica.Snapshot {
+	return &replica.Snapshot{
+		Now: w.now, Targets: w.targets, Ledger: &w.book, Models: w.site.Models, Demand: w.demand(),
 		FreeLoads: loadsAtOnce - w.loads, FreeAdapterLoads: adaptersAtOnce - w.adapter,
-		BytesPerSecond: bytesPerSecond, Terms: terms,
+		BytesPerSecond: bytesPerSecond, Weights: terms,
 	}
 }
--- a/internal/measure/replay/policy.go
+++ b/internal/measure/replay/policy.go
@@ -23,7 +23,7 @@
 func (p Product) String() string { return fmt.Sprintf("product %.2f", p.Weight) }
 
 func (p Product) decide(w *world) []replica.Decision {
-	v := w.view(replica.Weigh(p.Weight))
+	v := w.view(replica.WeightsFor(p.Weight))
 	v.Forecast = &w.past
 
 	const every, ahead, least = 30 * time.Second, 2 * time.Minute, 1e-7
@@ -51,11 +51,11 @@
 }
 
 func (p KeepAlive) decide(w *world) []replica.Decision {
-	v := w.view(replica.Weigh(0))
-	v.Terms.KeepAlive = p.For
+	v := w.view(replica.WeightsFor(0))
+	v.Weights.KeepAlive = p.For
 
 	if p.For == 0 {
-		v.Terms.KeepAlive = math.MaxInt64
+		v.Weights.KeepAlive = math.MaxInt64
 	}
 
 	// Without a forecast the product's decision is load on demand with a fixed
@@ -86,10 +86,10 @@
 }
 
 func (p Oracle) decide(w *world) []replica.Decision {
-	v := w.view(replica.Weigh(1))
-	v.Terms.KeepAlive = math.MaxInt64
+	v := w.view(replica.WeightsFor(1))
+	v.Weights.KeepAlive = math.MaxInt64
 	v.Forecast = foresight{w}
-	v.Terms.Worth = math.MaxFloat32
+	v.Weights.WaitCost = math.MaxFloat32
 
 	// Loads begin one round ahead of the longest load.
 	const ahead = decideEvery + 3*time.Second
--- a/internal/placement/cell/cell.go
+++ b/internal/placement/cell/cell.go
@@ -63,7 +63,7 @@
 	Log     *timeline.Log
 	Logger  zerolog.Logger
 	Timing  lease.Timing
-	Policy  replica.Terms
+	Policy  replica.Weights
 	// LoadLimit limits the loads that all cells together may have in flight.
 	LoadLimit share.Amount
 	// RequestShare asks the holder of the first cell for this cell's share of them.
--- a/internal/placement/cell/term.go
+++ b/internal/placement/cell/term.go
@@ -260,20 +260,20 @@
 }
 
 // decisionSnapshot returns the input of a decision.
-func (t *leaseTerm) decisionSnapshot(now time.Time) *replica.View {
-	v := &replica.View{
+func (t *leaseTerm) decisionSnapshot(now time.Time) *replica.Snapshot {
+	v := &replica.Snapshot{
 		Now:            now,
-		Book:           &t.ledger,
+		Ledger:         &t.ledger,
 		Models:         t.models,
 		Demand:         t.demand.Merged(now),
 		BytesPerSecond: t.loadSpeed.perSecond,
 		Accelerators:   make(map[string]int),
-		Terms:          t.cfg.Policy,
+		Weights:        t.cfg.Policy,
 	}
 
 	if t.history.loaded {
 		v.Forecast = &t.history.uses
-		v.Candidates = t.history.candidates(now, t.cfg.Policy.Worth)
+		v.Candidates = t.history.candidates(now, t.cfg.Policy.WaitCost)
 	}
 
 	for _, p := range t.cfg.Lists().Plans() {
@@ -304,17 +304,17 @@
 				t.beginLoad(d, now)
 			}
 
-			t.waits = append(t.waits, router.Wait{Model: d.Model, Ready: d.Ready})
+			t.waits = append(t.waits, router.Wait{Model: d.Model, Ready: d.ReadyIn})
 		case replica.Retire:
 			// Without the lease no replica can be loaded in its place, so this
 			// one stays.
 			if valid {
 				t.retire(ledger.Key{Target: d.Target, Model: d.Model})
 			}
-		case replica.Revive:
+		case replica.CancelRetire:
 			t.revive(ledger.Key{Target: d.Target, Model: d.Model})
-		case replica.Expect:
-			t.waits = append(t.waits, router.Wait{Model: d.Model, Ready: d.Ready})
+		case replica.Predict:
+			t.waits = append(t.waits, router.Wait{Model: d.Model, Ready: d.ReadyIn})
 		case replica.Deny:
 			t.waits = append(t.waits, router.Wait{Model: d.Model, Reason: d.Reason, RetryAfter: d.RetryAfter})
 		}
--- a/internal/placement/cell/world_test.go
+++ b/internal/placement/cell/world_test.go
@@ -158,7 +158,7 @@
 	p.set = &peer.Set{Self: id, Terms: peer.DefaultTerms()}
 	p.set.Terms.ListLag = listLag
 
-	policy := replica.Weigh(0.5)
+	policy := replica.WeightsFor(0.5)
 	policy.KeepAlive = 5 * time.Second
 
 	p.Cell = New(Config{
--- a/internal/placement/demand/demand.go
+++ b/internal/placement/demand/demand.go
@@ -114,8 +114,8 @@
 	into.Waiting += d.Waiting
 	into.Priority = max(into.Priority, d.Priority)
 
-	into.Deadline = replica.Soonest(into.Deadline, d.Deadline)
-	into.Goal = replica.Soonest(into.Goal, d.Goal)
+	into.Deadline = replica.EarlierNonZero(into.Deadline, d.Deadline)
+	into.Goal = replica.EarlierNonZero(into.Goal, d.Goal)
 }
 
 // Lines returns the number of entries at which requests wait, by the group of
--- a/internal/placement/holder/decide.go
+++ b/internal/placement/holder/decide.go
@@ -246,8 +246,8 @@
 		sum.Running += w.Running
 		sum.Priority = max(sum.Priority, w.Priority)
 
-		sum.Deadline = replica.Soonest(sum.Deadline, w.Deadline)
-		sum.Goal = replica.Soonest(sum.Goal, w.Goal)
+		sum.Deadline = replica.EarlierNonZero(sum.Deadline, w.Deadline)
+		sum.Goal = replica.EarlierNonZero(sum.Goal, w.Goal)
 	}
 
 	out := make([]swap.Demand, 0, len(order))
--- a/internal/placement/replica/best.go
+++ b/internal/placement/replica/best.go
@@ -61,7 +61,7 @@
 	t := &d.Targets[at]
 	none := func(reason string) candidate { return candidate{at: -1, reason: reason} }
 
-	if !t.Usable || d.Book.Row(ledger.Key{Target: t.ID, Model: cp.Name}) != nil {
+	if !t.Usable || d.Ledger.Row(ledger.Key{Target: t.ID, Model: cp.Name}) != nil {
 		return none(ReasonNoTarget)
 	}
 
@@ -73,12 +73,12 @@
 		return none(ReasonTooLarge)
 	}
 
-	if d.Terms.LoadsPerHour > 0 && cp.Base == "" && t.LoadsLastHour >= d.Terms.LoadsPerHour {
+	if d.Weights.LoadsPerHour > 0 && cp.Base == "" && t.LoadsLastHour >= d.Weights.LoadsPerHour {
 		return none(ReasonThrash)
 	}
 
 	c := candidate{at: at, ready: d.loadTime(cp, tierOf(t, cp.Name))}
-	need := d.Book.UsedBytes(t.ID) + d.reservedBytes[at] + cp.Bytes - t.Memory
+	need := d.Ledger.UsedBytes(t.ID) + d.reservedBytes[at] + cp.Bytes - t.Memory
 
 	if need > 0 {
 		if !evict || !d.findVictims(&c, t, cp, need) {
@@ -123,11 +123,11 @@
 }
 
 func (d *decider) usedBy(t *Target, plan string) bool {
-	return slices.ContainsFunc(d.Book.Target(t.ID), func(r *ledger.Row) bool { return r.Plan == plan })
+	return slices.ContainsFunc(d.Ledger.Target(t.ID), func(r *ledger.Row) bool { return r.Plan == plan })
 }
 
 func (d *decider) readyOn(t *Target, model string) bool {
-	r := d.Book.Row(ledger.Key{Target: t.ID, Model: model})
+	r := d.Ledger.Row(ledger.Key{Target: t.ID, Model: model})
 
 	return r != nil && r.State.Phase == target.Ready && !r.State.Retiring && !d.retired[r.Key]
 }
@@ -149,7 +149,7 @@
 
 	var idle []*ledger.Row
 
-	for _, r := range d.Book.Target(t.ID) {
+	for _, r := range d.Ledger.Target(t.ID) {
 		if d.evictable(r, cp) {
 			idle = append(idle, r)
 		}
@@ -191,7 +191,7 @@
 func (d *decider) leavingBytes(t *Target) int64 {
 	var n int64
 
-	for _, r := range d.Book.Target(t.ID) {
+	for _, r := range d.Ledger.Target(t.ID) {
 		if d.isLeaving(r) {
 			n += r.Bytes
 		}
@@ -208,7 +208,7 @@
 func (d *decider) leavingKeys(t *Target) []ledger.Key {
 	var keys []ledger.Key
 
-	for _, r := range d.Book.Target(t.ID) {
+	for _, r := range d.Ledger.Target(t.ID) {
 		if d.isLeaving(r) {
 			keys = append(keys, r.Key)
 		}
@@ -225,7 +225,7 @@
 		return false
 	}
 
-	return d.Book.Dependents(r.Key) == 0
+	return d.Ledger.Dependents(r.Key) == 0
 }
 
 // loss returns the predicted cost of an eviction in seconds: the time to load
--- a/internal/placement/replica/decide.go
+++ b/internal/placement/replica/decide.go
@@ -14,7 +14,7 @@
 // decider collects the decisions of one round. Each of them takes those before
 // it into account: memory that one load takes is not available to the next.
 type decider struct {
-	*View
+	*Snapshot
 
 	out []Decision
 	// reservedBytes are the bytes that this round's loads take, by index of the
@@ -32,9 +32,9 @@
 }
 
 // Decide returns the decisions for now, the most urgent loads first.
-func Decide(v *View) []Decision {
+func Decide(v *Snapshot) []Decision {
 	d := &decider{
-		View:             v,
+		Snapshot:         v,
 		reservedBytes:    make([]int64, len(v.Targets)),
 		retired:          make(map[ledger.Key]bool),
 		demanded:         make(map[string]bool, len(v.Demand)),
@@ -104,7 +104,7 @@
 
 // count returns how many replicas are ready and how many are loading.
 func (d *decider) count(model string) (ready, loading int) {
-	for _, r := range d.Book.Model(model) {
+	for _, r := range d.Ledger.Model(model) {
 		switch {
 		case r.State.Retiring || d.retired[r.Key] || d.isLost(r):
 		case r.State.Phase == target.Ready:
@@ -127,9 +127,9 @@
 
 // cancelRetire cancels the retirement of a replica that is still loaded.
 func (d *decider) cancelRetire(model string) bool {
-	for _, r := range d.Book.Model(model) {
+	for _, r := range d.Ledger.Model(model) {
 		if r.State.Retiring && r.State.Phase == target.Ready && !d.isLost(r) {
-			d.out = append(d.out, Revive{Target: r.Target, Model: model})
+			d.out = append(d.out, CancelRetire{Target: r.Target, Model: model})
 
 			return true
 		}
@@ -143,13 +143,13 @@
 func (d *decider) crowded(dem Demand) bool {
 	slots := 0
 
-	for _, r := range d.Book.Model(dem.Model) {
+	for _, r := range d.Ledger.Model(dem.Model) {
 		if at, ok := d.targetIndex(r); ok && !r.State.Retiring {
 			slots += d.Targets[at].Slots
 		}
 	}
 
-	return float64(dem.Waiting+dem.Running) > d.Terms.ScaleUp*float64(slots)
+	return float64(dem.Waiting+dem.Running) > d.Weights.ScaleUp*float64(slots)
 }
 
 func (d *decider) targetIndex(r *ledger.Row) (int, bool) {
@@ -195,20 +195,20 @@
 		// The memory is free only once the engine has confirmed the unload. The
 		// next round starts the load; until then, the prediction gives waiting
 		// requests the load's duration.
-		d.out = append(d.out, Expect{Model: cp.Name, Ready: best.ready})
+		d.out = append(d.out, Predict{Model: cp.Name, ReadyIn: best.ready})
 
 		return
 	}
 
 	if !d.reserveLoad(cp) {
-		d.out = append(d.out, Expect{Model: cp.Name, Ready: 2 * best.ready})
+		d.out = append(d.out, Predict{Model: cp.Name, ReadyIn: 2 * best.ready})
 
 		return
 	}
 
 	d.reservedBytes[best.at] += cp.Bytes
 	d.out = append(d.out, Load{
-		Target: t.ID, Model: cp.Name, Base: cp.Base, Bytes: cp.Bytes, Plan: dem.Plan, Ready: best.ready,
+		Target: t.ID, Model: cp.Name, Base: cp.Base, Bytes: cp.Bytes, Plan: dem.Plan, ReadyIn: best.ready,
 	})
 }
 
@@ -233,7 +233,7 @@
 	_, loading := d.count(base.Name)
 	if loading > 0 {
 		d.predict(Demand{Model: base.Name})
-		d.out = append(d.out, Expect{Model: cp.Name, Ready: d.loadTime(base, target.TierRemote)})
+		d.out = append(d.out, Predict{Model: cp.Name, ReadyIn: d.loadTime(base, target.TierRemote)})
 
 		return
 	}
@@ -248,7 +248,7 @@
 	needed := dem
 	needed.Model = base.Name
 	d.place(base, needed, evict)
-	d.out = append(d.out, Expect{Model: cp.Name, Ready: d.loadTime(base, target.TierRemote)})
+	d.out = append(d.out, Predict{Model: cp.Name, ReadyIn: d.loadTime(base, target.TierRemote)})
 }
 
 // reserveLoad counts one more load against the cell's share of the weight
@@ -269,13 +269,13 @@
 }
 
 func (d *decider) predict(dem Demand) {
-	for _, r := range d.Book.Model(dem.Model) {
+	for _, r := range d.Ledger.Model(dem.Model) {
 		if r.State.Phase != target.Loading || r.State.Retiring {
 			continue
 		}
 
 		left := d.loadTime(d.Models[dem.Model], target.TierRemote) - d.Now.Sub(r.State.Since)
-		d.out = append(d.out, Expect{Model: dem.Model, Ready: max(left, minPrediction)})
+		d.out = append(d.out, Predict{Model: dem.Model, ReadyIn: max(left, minPrediction)})
 
 		return
 	}
@@ -310,7 +310,7 @@
 
 	load := retryAfterBusy + d.loadTime(cp, target.TierRemote)
 	if dem.Waiting > 0 && dem.Deadline.Sub(d.Now) > load && len(d.Targets) > 0 {
-		d.out = append(d.out, Expect{Model: cp.Name, Ready: load})
+		d.out = append(d.out, Predict{Model: cp.Name, ReadyIn: load})
 
 		return
 	}
@@ -323,12 +323,12 @@
 // consecutive failure. Its jitter depends on the model's name only, so that a
 // decision remains a function of its input.
 func (d *decider) backingOff(model string) (time.Duration, bool) {
-	for _, r := range d.Book.Model(model) {
+	for _, r := range d.Ledger.Model(model) {
 		if r.State.Phase != target.Failed {
 			continue
 		}
 
-		wait := backoff(d.Terms, r.State.Failures, model) - d.Now.Sub(r.State.Since)
+		wait := backoff(d.Weights, r.State.Failures, model) - d.Now.Sub(r.State.Since)
 		if wait > 0 {
 			return wait, true
 		}
@@ -337,7 +337,7 @@
 	return 0, false
 }
 
-func backoff(terms Terms, failures int, model string) time.Duration {
+func backoff(terms Weights, failures int, model string) time.Duration {
 	const half = 0.5
 
 	wait := float64(terms.RetryBase) * math.Pow(2, float64(min(max(failures, 1), 16)-1)) //nolint:mnd // Doubles for up to 16 failures.
--- a/internal/placement/replica/decide_test.go
+++ b/internal/placement/replica/decide_test.go
@@ -19,10 +19,10 @@
 
 // newView returns a view with targets t0, t1, … of 100 bytes each and with the
 // given rows.
-func newView(targets int, rows ...ledger.Row) *View {
-	v := &View{
-		Now: now, Book: &ledger.Ledger{}, Models: make(map[string]weight.Checkpoint),
-		FreeLoads: 4, FreeAdapterLoads: 32, BytesPerSecond: 10, Terms: Weigh(0.5),
+func newView(targets int, rows ...ledger.Row) *Snapshot {
+	v := &Snapshot{
+		Now: now, Ledger: &ledger.Ledger{}, Models: make(map[string]weight.Checkpoint),
+		FreeLoads: 4, FreeAdapterLoads: 32, BytesPerSecond: 10, Weights: WeightsFor(0.5),
 	}
 
 	for i := range targets {
@@ -39,7 +39,7 @@
 	v.Models["huge"] = weight.Checkpoint{Name: "huge", Bytes: 101}
 
 	for _, r := range rows {
-		v.Book.Adopt(r)
+		v.Ledger.Adopt(r)
 	}
 
 	return v
@@ -68,13 +68,13 @@
 
 func TestDecide(t *testing.T) {
 	load := func(t, m string, ready time.Duration) Load {
-		return Load{Target: instance.ID(t), Model: m, Bytes: 60, Plan: "p", Ready: ready}
+		return Load{Target: instance.ID(t), Model: m, Bytes: 60, Plan: "p", ReadyIn: ready}
 	}
 
 	for name, tc := range map[string]struct {
-		view   *View
+		view   *Snapshot
 		demand []Demand
-		change func(*View)
+		change func(*Snapshot)
 		want   []Decision
 	}{
 		"no demand":               {view: newView(2)},
@@ -82,37 +82,37 @@
 		"model is ready already":  {view: newView(1, row("t0", "a", target.Ready)), demand: []Demand{waiting("a")}},
 		"model is loading already": {
 			view: newView(1, row("t0", "a", target.Loading)), demand: []Demand{waiting("a")},
-			want: []Decision{Expect{Model: "a", Ready: minPrediction}},
+			want: []Decision{Predict{Model: "a", ReadyIn: minPrediction}},
 		},
 		"target with cached weights first": {
 			view: newView(3), demand: []Demand{waiting("a")},
-			change: func(v *View) { v.Targets[1].Cached = map[string]target.Tier{"a": target.TierDisk} },
+			change: func(v *Snapshot) { v.Targets[1].Cached = map[string]target.Tier{"a": target.TierDisk} },
 			want:   []Decision{load("t1", "a", 2*time.Second)},
 		},
 		"faster target first": {
 			view: newView(3), demand: []Demand{waiting("a")},
-			change: func(v *View) { v.Targets[2].Speed = 4 },
+			change: func(v *Snapshot) { v.Targets[2].Speed = 4 },
 			want:   []Decision{load("t2", "a", 6*time.Second)},
 		},
 		"evict an idle replica": {
 			view: newView(1, row("t0", "b", target.Ready)), demand: []Demand{waiting("a")},
-			want: []Decision{Retire{Target: "t0", Model: "b", For: "a"}, Expect{Model: "a", Ready: 6 * time.Second}},
+			want: []Decision{Retire{Target: "t0", Model: "b", ForModel: "a"}, Predict{Model: "a", ReadyIn: 6 * time.Second}},
 		},
 		"no eviction of a running replica": {
 			view:   newView(1, row("t0", "b", target.Ready, func(r *ledger.Row) { r.State.Running = 1 })),
 			demand: []Demand{waiting("a")},
-			want:   []Decision{Expect{Model: "a", Ready: 8 * time.Second}},
+			want:   []Decision{Predict{Model: "a", ReadyIn: 8 * time.Second}},
 		},
 		"no eviction of a model with waiting requests": {
 			view: newView(1, row("t0", "b", target.Ready)), demand: []Demand{waiting("a"), waiting("b")},
-			want: []Decision{Expect{Model: "a", Ready: 8 * time.Second}},
+			want: []Decision{Predict{Model: "a", ReadyIn: 8 * time.Second}},
 		},
 		"memory of a stuck unload does not count as free": {
 			view: newView(1, row("t0", "b", target.Unloading, func(r *ledger.Row) {
 				r.State.Retiring, r.State.Stuck = true, true
 			})),
 			demand: []Demand{waiting("a")},
-			want:   []Decision{Expect{Model: "a", Ready: 8 * time.Second}},
+			want:   []Decision{Predict{Model: "a", ReadyIn: 8 * time.Second}},
 		},
 		"deadline too close to wait for memory": {
 			view:   newView(1, row("t0", "b", target.Ready, func(r *ledger.Row) { r.State.Running = 1 })),
@@ -133,22 +133,22 @@
 		},
 		"a lost target's replica does not serve": {
 			view: newView(2, row("t0", "a", target.Ready)), demand: []Demand{waiting("a")},
-			change: func(v *View) { v.Targets[0].Lost, v.Targets[0].Usable = true, false },
+			change: func(v *Snapshot) { v.Targets[0].Lost, v.Targets[0].Usable = true, false },
 			want:   []Decision{load("t1", "a", 6*time.Second)},
 		},
 		"cancel a retirement": {
 			view:   newView(1, row("t0", "a", target.Ready, func(r *ledger.Row) { r.State.Retiring = true })),
 			demand: []Demand{waiting("a")},
-			want:   []Decision{Revive{Target: "t0", Model: "a"}},
+			want:   []Decision{CancelRetire{Target: "t0", Model: "a"}},
 		},
 		"base before adapter": {
 			view: newView(1), demand: []Demand{waiting("a+")},
-			want: []Decision{load("t0", "a", 6*time.Second), Expect{Model: "a+", Ready: 6 * time.Second}},
+			want: []Decision{load("t0", "a", 6*time.Second), Predict{Model: "a+", ReadyIn: 6 * time.Second}},
 		},
 		"adapter beside its base": {
 			view: newView(2, row("t1", "a", target.Ready)), demand: []Demand{waiting("a+")},
 			want: []Decision{Load{
-				Target: "t1", Model: "a+", Base: "a", Bytes: 5, Plan: "p", Ready: 500 * time.Millisecond,
+				Target: "t1", Model: "a+", Base: "a", Bytes: 5, Plan: "p", ReadyIn: 500 * time.Millisecond,
 			}},
 		},
 		"second replica when crowded": {
@@ -158,13 +158,13 @@
 		},
 		"no load of the weight store left": {
 			view: newView(1), demand: []Demand{waiting("a")},
-			change: func(v *View) { v.FreeLoads = 0 },
-			want:   []Decision{Expect{Model: "a", Ready: 12 * time.Second}},
+			change: func(v *Snapshot) { v.FreeLoads = 0 },
+			want:   []Decision{Predict{Model: "a", ReadyIn: 12 * time.Second}},
 		},
 		"limit of loads per hour": {
 			view: newView(1), demand: []Demand{waiting("a")},
-			change: func(v *View) { v.Targets[0].LoadsLastHour = v.Terms.LoadsPerHour },
-			want:   []Decision{Expect{Model: "a", Ready: 8 * time.Second}},
+			change: func(v *Snapshot) { v.Targets[0].LoadsLastHour = v.Weights.LoadsPerHour },
+			want:   []Decision{Predict{Model: "a", ReadyIn: 8 * time.Second}},
 		},
 		"idle for too long": {
 			view: newView(1, row("t0", "a", target.Ready, func(r *ledger.Row) { r.State.LastUsed = now.Add(-time.Hour) })),
@@ -172,29 +172,29 @@
 		},
 		"idle, but use predicted soon": {
 			view:   newView(1, row("t0", "a", target.Ready, func(r *ledger.Row) { r.State.LastUsed = now.Add(-time.Hour) })),
-			change: func(v *View) { v.Forecast = rates{"a": 0.01} },
+			change: func(v *Snapshot) { v.Forecast = rates{"a": 0.01} },
 		},
 		"no use predicted soon": {
 			view:   newView(1, row("t0", "a", target.Ready)),
-			change: func(v *View) { v.Forecast = rates{"a": 0.00001} },
+			change: func(v *Snapshot) { v.Forecast = rates{"a": 0.00001} },
 			want:   []Decision{Retire{Target: "t0", Model: "a"}},
 		},
 		"load ahead of predicted use": {
 			view:   newView(1),
-			change: func(v *View) { v.Forecast, v.Candidates = rates{"a": 0.01}, []string{"a", "b"} },
-			want:   []Decision{Load{Target: "t0", Model: "a", Bytes: 60, Ready: 6 * time.Second}},
+			change: func(v *Snapshot) { v.Forecast, v.Candidates = rates{"a": 0.01}, []string{"a", "b"} },
+			want:   []Decision{Load{Target: "t0", Model: "a", Bytes: 60, ReadyIn: 6 * time.Second}},
 		},
 		"base that is predicted for itself and for its adapter is loaded once": {
 			view:   newView(3),
-			change: func(v *View) { v.Forecast, v.Candidates = rates{"a": 1, "a+": 1}, []string{"a", "a+"} },
+			change: func(v *Snapshot) { v.Forecast, v.Candidates = rates{"a": 1, "a+": 1}, []string{"a", "a+"} },
 			want: []Decision{
-				Load{Target: "t0", Model: "a", Bytes: 60, Ready: 6 * time.Second},
-				Expect{Model: "a+", Ready: 6 * time.Second},
+				Load{Target: "t0", Model: "a", Bytes: 60, ReadyIn: 6 * time.Second},
+				Predict{Model: "a+", ReadyIn: 6 * time.Second},
 			},
 		},
 		"prediction evicts no model": {
 			view:   newView(1, row("t0", "b", target.Ready)),
-			change: func(v *View) { v.Forecast, v.Candidates = rates{"a": 0.01, "b": 0.01}, []string{"a"} },
+			change: func(v *Snapshot) { v.Forecast, v.Candidates = rates{"a": 0.01, "b": 0.01}, []string{"a"} },
 		},
 		"backoff after a failed load": {
 			view: newView(2, row("t0", "a", target.Failed, func(r *ledger.Row) {
@@ -202,7 +202,7 @@
 			})),
 			demand: []Demand{waiting("a")},
 			want: []Decision{Deny{
-				Model: "a", Reason: ReasonFailing, RetryAfter: backoff(Weigh(0.5), 9, "a"),
+				Model: "a", Reason: ReasonFailing, RetryAfter: backoff(WeightsFor(0.5), 9, "a"),
 			}},
 		},
 	} {
@@ -265,7 +265,7 @@
 				r.State.Running = rapid.IntRange(0, 1).Draw(t, "running")
 				r.State.Retiring = rapid.Bool().Draw(t, "retiring")
 				r.State.LastUsed = now.Add(-time.Duration(rapid.IntRange(0, 7200).Draw(t, "unused")) * time.Second)
-				_, _ = v.Book.Reserve(r, v.Targets[i].Memory)
+				_, _ = v.Ledger.Reserve(r, v.Targets[i].Memory)
 			}
 		}
 
@@ -286,7 +286,7 @@
 	})
 }
 
-func checkRound(t *rapid.T, v *View, decisions []Decision) {
+func checkRound(t *rapid.T, v *Snapshot, decisions []Decision) {
 	held := make(map[instance.ID]int64)
 	loaded := make(map[string]int)
 	loads, adapters := 0, 0
@@ -298,11 +298,11 @@
 			held[d.Target] += d.Bytes
 			loaded[d.Model]++
 
-			if v.Book.UsedBytes(d.Target)+held[d.Target] > v.Targets[at].Memory {
+			if v.Ledger.UsedBytes(d.Target)+held[d.Target] > v.Targets[at].Memory {
 				t.Fatalf("%v overcommits the memory of %s", d, d.Target)
 			}
 
-			if !v.Targets[at].Usable || v.Book.Row(ledger.Key{Target: d.Target, Model: d.Model}) != nil {
+			if !v.Targets[at].Usable || v.Ledger.Row(ledger.Key{Target: d.Target, Model: d.Model}) != nil {
 				t.Fatalf("%v: target unusable or model resident", d)
 			}
 
@@ -312,10 +312,10 @@
 				adapters++
 			}
 		case Retire:
-			r := v.Book.Row(ledger.Key{Target: d.Target, Model: d.Model})
+			r := v.Ledger.Row(ledger.Key{Target: d.Target, Model: d.Model})
 			asked := slices.ContainsFunc(v.Demand, func(dem Demand) bool { return dem.Model == d.Model })
 
-			if r.State.Running > 0 || d.For != "" && asked {
+			if r.State.Running > 0 || d.ForModel != "" && asked {
 				t.Fatalf("%v: replica is in use", d)
 			}
 		}
@@ -337,9 +337,9 @@
 func BenchmarkDecide(b *testing.B) {
 	for _, size := range []struct{ targets, models int }{{13, 400}, {128, 4000}, {1280, 40000}} {
 		b.Run(fmt.Sprintf("targets=%d/models=%d", size.targets, size.models), func(b *testing.B) {
-			v := &View{
-				Now: now, Book: &ledger.Ledger{}, Models: make(map[string]weight.Checkpoint),
-				FreeLoads: 4, FreeAdapterLoads: 32, BytesPerSecond: 1e9, Terms: Weigh(0.5),
+			v := &Snapshot{
+				Now: now, Ledger: &ledger.Ledger{}, Models: make(map[string]weight.Checkpoint),
+				FreeLoads: 4, FreeAdapterLoads: 32, BytesPerSecond: 1e9, Weights: WeightsFor(0.5),
 			}
 
 			for i := range size.targets {
@@ -354,7 +354,7 @@
 
 				if i%5 == 0 {
 					at := string(v.Targets[i%size.targets].ID)
-					_, _ = v.Book.Reserve(row(at, name, target.Ready), 80e9)
+					_, _ = v.Ledger.Reserve(row(at, name, target.Ready), 80e9)
 				}
 
 				if i%50 == 0 {
--- a/internal/placement/replica/idle.go
+++ b/internal/placement/replica/idle.go
@@ -11,13 +11,13 @@
 
 // retire decides to retire a replica, unless that has been decided before.
 func (d *decider) retire(k ledger.Key, forModel string) {
-	row := d.Book.Row(k)
+	row := d.Ledger.Row(k)
 	if d.retired[k] || row == nil || row.State.Retiring {
 		return
 	}
 
 	d.retired[k] = true
-	d.out = append(d.out, Retire{Target: k.Target, Model: k.Model, For: forModel})
+	d.out = append(d.out, Retire{Target: k.Target, Model: k.Model, ForModel: forModel})
 }
 
 // Hysteresis: a replica is loaded ahead of demand only if its value clearly
@@ -34,7 +34,7 @@
 func (d *decider) valueRate(model string, load time.Duration) float64 {
 	const slack = 10 * time.Second
 
-	return d.Forecast.Rate(model, d.Now, load+slack) * load.Seconds() * d.Terms.Worth
+	return d.Forecast.Rate(model, d.Now, load+slack) * load.Seconds() * d.Weights.WaitCost
 }
 
 // memoryShare returns the cost of an idle replica per second, which is its share
@@ -98,7 +98,7 @@
 func (d *decider) retireIdle() {
 	var rows []*ledger.Row
 
-	d.Book.All(func(r *ledger.Row) {
+	d.Ledger.All(func(r *ledger.Row) {
 		if !r.State.Retiring && !d.retired[r.Key] && r.State.Running == 0 {
 			rows = append(rows, r)
 		}
@@ -118,13 +118,13 @@
 func (d *decider) idle(r *ledger.Row) bool {
 	switch r.State.Phase {
 	case target.Failed:
-		return d.Now.Sub(r.State.Since) >= backoff(d.Terms, r.State.Failures, r.Model)
+		return d.Now.Sub(r.State.Since) >= backoff(d.Weights, r.State.Failures, r.Model)
 	case target.Ready:
 	case target.Loading, target.Unloading:
 		return false
 	}
 
-	if d.demanded[r.Model] && !d.hasOther(r) || d.Book.Dependents(r.Key) > 0 {
+	if d.demanded[r.Model] && !d.hasOther(r) || d.Ledger.Dependents(r.Key) > 0 {
 		return false
 	}
 
@@ -134,7 +134,7 @@
 	case unused < minResidence:
 		return false
 	case d.Forecast == nil:
-		return unused >= d.Terms.KeepAlive
+		return unused >= d.Weights.KeepAlive
 	case d.Now.Sub(r.State.Since) < minResidence:
 		return false
 	case !r.State.LastUsed.After(r.State.Since) && d.Now.Sub(r.State.Since) < firstUseTimeout:
--- a/internal/placement/replica/replica.go
+++ b/internal/placement/replica/replica.go
@@ -48,9 +48,9 @@
 	Priority       int
 }
 
-// Soonest returns the earlier of two times. A zero time means that there is
+// EarlierNonZero returns the earlier of two times. A zero time means that there is
 // none.
-func Soonest(a, b time.Time) time.Time {
+func EarlierNonZero(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
 	}
@@ -58,11 +58,11 @@
 	return a
 }
 
-// Terms are the cost weights and limits of a decision. See [Weigh].
-type Terms struct {
-	// Worth is the cost of one second that a client waits for a cold model, in
+// Weights are the cost weights and limits of a decision. See [WeightsFor].
+type Weights struct {
+	// WaitCost is the cost of one second that a client waits for a cold model, in
 	// seconds of one idle accelerator.
-	Worth float64
+	WaitCost float64
 	// KeepAlive is how long an idle replica stays loaded when there is no
 	// forecast.
 	KeepAlive time.Duration
@@ -82,12 +82,12 @@
 	Rate(model string, now time.Time, ahead time.Duration) float64
 }
 
-// View is the complete input of a decision.
-type View struct {
+// Snapshot is the complete input of a decision.
+type Snapshot struct {
 	Now time.Time
 	// Targets are sorted by id.
 	Targets []Target
-	Book    *ledger.Ledger
+	Ledger  *ledger.Ledger
 	Models  map[string]weight.Checkpoint
 	Demand  []Demand
 	// Forecast is nil if the use of the models has not been recorded.
@@ -102,7 +102,7 @@
 	// Accelerators is the number of accelerators of each plan. A plan that is
 	// missing has no limit.
 	Accelerators map[string]int
-	Terms        Terms
+	Weights      Weights
 }
 
 // Decision is one of Load, Retire, Revive, Expect and Deny.
@@ -115,28 +115,28 @@
 	Base   string
 	Bytes  int64
 	Plan   string
-	// Ready is the predicted duration of the load.
-	Ready time.Duration
+	// ReadyIn is the predicted duration of the load.
+	ReadyIn time.Duration
 }
 
 // Retire stops new requests to a replica and unloads it once it is idle.
 type Retire struct {
 	Target instance.ID
 	Model  string
-	// For is the model that needs the memory, if any.
-	For string
+	// ForModel is the model that needs the memory, if any.
+	ForModel string
 }
 
-// Revive cancels the retirement of a replica, so that it accepts requests again.
-type Revive struct {
+// CancelRetire cancels the retirement of a replica, so that it accepts requests again.
+type CancelRetire struct {
 	Target instance.ID
 	Model  string
 }
 
-// Expect predicts when a model that requests wait for will be ready.
-type Expect struct {
-	Model string
-	Ready time.Duration
+// Predict predicts when a model that requests wait for will be ready.
+type Predict struct {
+	Model   string
+	ReadyIn time.Duration
 }
 
 // Deny reports that no replica of a model can be loaded.
@@ -146,11 +146,11 @@
 	RetryAfter time.Duration
 }
 
-func (Load) decision()   {}
-func (Retire) decision() {}
-func (Revive) decision() {}
-func (Expect) decision() {}
-func (Deny) decision()   {}
+func (Load) decision()         {}
+func (Retire) decision()       {}
+func (CancelRetire) decision() {}
+func (Predict) decision()      {}
+func (Deny) decision()         {}
 
 // Reasons for a Deny.
 const (
--- a/internal/serving/dispatch/modelqueue.go
+++ b/internal/serving/dispatch/modelqueue.go
@@ -407,10 +407,10 @@
 			d.Plan, d.Priority = req.Plan, req.Priority
 		}
 
-		d.Deadline = replica.Soonest(d.Deadline, it.Deadline)
+		d.Deadline = replica.EarlierNonZero(d.Deadline, it.Deadline)
 
 		if req.Goal.After(now) {
-			d.Goal = replica.Soonest(d.Goal, req.Goal)
+			d.Goal = replica.EarlierNonZero(d.Goal, req.Goal)
 		}
 	})
 
