--- a/internal/fleet/entry/entry.go
+++ b/internal/fleet/entry/entry.go
@@ -286,7 +286,7 @@
 		Logger:          e.logger,
 		Timing:          e.cfg.Lease,
 		Policy:          replica.WeightsFor(e.cfg.ColdStartWeight),
-		LoadLimit:       share.Amount{Models: e.cfg.Loads, Adapters: e.cfg.AdapterLoads},
+		LoadLimit:       share.Loads{Models: e.cfg.Loads, Adapters: e.cfg.AdapterLoads},
 		RequestShare:    ask,
 		BytesPerSecond:  e.cfg.BytesPerSecond,
 	}
--- a/internal/fleet/entry/handler.go
+++ b/internal/fleet/entry/handler.go
@@ -51,7 +51,7 @@
 func (h handler) Ask(a limit.Ask) limit.Grant { return h.e.grant(a) }
 
 // GrantShare implements wire.Handler.
-func (h handler) GrantShare(a share.Ask) share.Amount { return h.e.cells[0].GrantShare(a) }
+func (h handler) GrantShare(a share.Request) share.Loads { return h.e.cells[0].GrantShare(a) }
 
 // Reserve implements wire.Handler.
 func (h handler) Reserve(id instance.ID, holder string, lasting time.Duration) bool {
--- a/internal/fleet/entry/limits.go
+++ b/internal/fleet/entry/limits.go
@@ -63,9 +63,9 @@
 }
 
 // askShare asks the holder of the first cell for a part of the loads.
-func (e *Entry) askShare(ctx context.Context, a share.Ask) (share.Amount, error) {
+func (e *Entry) askShare(ctx context.Context, a share.Request) (share.Loads, error) {
 	if err := e.gate.Wait(ctx); err != nil {
-		return share.Amount{}, err
+		return share.Loads{}, err
 	}
 
 	holder := e.holder(0)
@@ -75,7 +75,7 @@
 
 	c, err := e.peer(holder)
 	if err != nil {
-		return share.Amount{}, err
+		return share.Loads{}, err
 	}
 
 	return c.GrantShare(ctx, a)
--- a/internal/placement/cell/cell.go
+++ b/internal/placement/cell/cell.go
@@ -65,10 +65,10 @@
 	Timing  lease.Timing
 	Policy  replica.Weights
 	// LoadLimit limits the loads that all cells together may have in flight.
-	LoadLimit share.Amount
+	LoadLimit share.Loads
 	// RequestShare asks the holder of the first cell for this cell's share of them.
 	// Nil means that there is only one cell, which has them all.
-	RequestShare func(ctx context.Context, a share.Ask) (share.Amount, error)
+	RequestShare func(ctx context.Context, a share.Request) (share.Loads, error)
 	// BytesPerSecond is the speed of a remote load that is assumed before the
 	// first loads have completed.
 	BytesPerSecond float64
@@ -399,13 +399,13 @@
 // GrantShare grants a cell its share of the loads that all cells together may
 // have in flight. Only the holder of the first cell is asked; an instance that
 // does not hold its cell grants nothing.
-func (c *Cell) GrantShare(a share.Ask) share.Amount {
+func (c *Cell) GrantShare(a share.Request) share.Loads {
 	c.mu.Lock()
 	t := c.term
 	c.mu.Unlock()
 
 	if t == nil {
-		return share.Amount{}
+		return share.Loads{}
 	}
 
 	t.mu.Lock()
--- a/internal/placement/cell/shares.go
+++ b/internal/placement/cell/shares.go
@@ -9,11 +9,11 @@
 )
 
 // requestSharesEvery is the interval at which a share of the loads is requested.
-const requestSharesEvery = share.GrantFor / 6
+const requestSharesEvery = share.GrantDuration / 6
 
 // loadsInFlight counts the cell's loads in flight.
-func (t *leaseTerm) loadsInFlight() share.Amount {
-	var n share.Amount
+func (t *leaseTerm) loadsInFlight() share.Loads {
+	var n share.Loads
 
 	t.ledger.All(func(r *ledger.Row) {
 		switch {
@@ -29,7 +29,7 @@
 }
 
 // loadShare returns how many loads the cell may have in flight at now.
-func (t *leaseTerm) loadShare(now time.Time) share.Amount {
+func (t *leaseTerm) loadShare(now time.Time) share.Loads {
 	switch {
 	case t.cfg.RequestShare == nil:
 		return t.cfg.LoadLimit
@@ -37,7 +37,7 @@
 		return t.granted
 	}
 
-	return share.Amount{}
+	return share.Loads{}
 }
 
 // requestShares requests a share of the loads at intervals, for the loads in
@@ -47,14 +47,14 @@
 		t.mu.Lock()
 		sent := time.Now()
 		using := t.loadsInFlight()
-		a := share.Ask{Cell: t.cfg.Cell, Using: using, Want: t.desiredLoads(using, sent), Held: t.loadShare(sent)}
+		a := share.Request{Cell: t.cfg.Cell, InFlight: using, Wanted: t.desiredLoads(using, sent), LastGrant: t.loadShare(sent)}
 		t.mu.Unlock()
 
 		granted, err := t.cfg.RequestShare(t.ctx, a)
 
 		t.mu.Lock()
 		if err == nil {
-			t.granted, t.grantedUntil = granted, sent.Add(share.GrantFor)
+			t.granted, t.grantedUntil = granted, sent.Add(share.GrantDuration)
 		}
 		t.mu.Unlock()
 		t.requestRound()
@@ -68,8 +68,8 @@
 // desiredLoads returns how many loads the cell could have in flight. It includes
 // one more than are in flight, so that the first request for a cold model finds
 // a share already granted if there are more loads than cells.
-func (t *leaseTerm) desiredLoads(using share.Amount, now time.Time) share.Amount {
-	want := share.Amount{Models: using.Models + 1, Adapters: using.Adapters + 1}
+func (t *leaseTerm) desiredLoads(using share.Loads, now time.Time) share.Loads {
+	want := share.Loads{Models: using.Models + 1, Adapters: using.Adapters + 1}
 
 	for _, d := range t.demand.Merged(now) {
 		if d.Waiting == 0 || len(t.ledger.Model(d.Model)) > 0 {
@@ -83,7 +83,7 @@
 		}
 	}
 
-	return share.Amount{
+	return share.Loads{
 		Models: min(want.Models, t.cfg.LoadLimit.Models), Adapters: min(want.Adapters, t.cfg.LoadLimit.Adapters),
 	}
 }
--- a/internal/placement/cell/term.go
+++ b/internal/placement/cell/term.go
@@ -50,7 +50,7 @@
 	// granter divides the loads between the cells, if this is the first cell.
 	granter share.Granter
 	// granted is this cell's share of the loads, valid until grantedUntil.
-	granted      share.Amount
+	granted      share.Loads
 	grantedUntil time.Time
 	// publishNow makes the next round publish, even before publishEvery.
 	publishNow bool
@@ -78,7 +78,7 @@
 		loadSpeed:    speed{perSecond: c.cfg.BytesPerSecond},
 		granter:      share.Granter{Total: c.cfg.LoadLimit},
 	}
-	t.granter.Started(t.since)
+	t.granter.Start(t.since)
 
 	return t
 }
--- a/internal/placement/cell/world_test.go
+++ b/internal/placement/cell/world_test.go
@@ -179,7 +179,7 @@
 		Log:             &timeline.Log{Instance: id, Process: strconv.Itoa(number)},
 		Logger:          zerolog.Nop(),
 		Policy:          policy,
-		LoadLimit:       share.Amount{Models: 4, Adapters: 32},
+		LoadLimit:       share.Loads{Models: 4, Adapters: 32},
 		BytesPerSecond:  float64(8 * gib),
 	})
 
--- a/internal/placement/share/share.go
+++ b/internal/placement/share/share.go
@@ -6,12 +6,12 @@
 
 import "time"
 
-// Amount is a number of loads in flight, by kind.
-type Amount struct{ Models, Adapters int }
+// Loads is a number of loads in flight, by kind.
+type Loads struct{ Models, Adapters int }
 
-// GrantFor is how long a cell may start loads under a grant, from the time at
+// GrantDuration is how long a cell may start loads under a grant, from the time at
 // which it asked.
-const GrantFor = 3 * time.Second
+const GrantDuration = 3 * time.Second
 
 // grantMargin is how much longer than GrantFor the granter counts a grant.
 const grantMargin = 100 * time.Millisecond
@@ -21,51 +21,51 @@
 // load.
 const loadTimeout = 2 * time.Minute
 
-// Ask is a cell's request for a grant.
-type Ask struct {
+// Request is a cell's request for a grant.
+type Request struct {
 	Cell int
-	// Want is the number of loads that the cell could have in flight now, and
-	// Using the number that it has in flight.
-	Want, Using Amount
-	// Held is the last grant, for as long as the cell may start loads under it;
+	// Wanted is the number of loads that the cell could have in flight now, and
+	// InFlight the number that it has in flight.
+	Wanted, InFlight Loads
+	// LastGrant is the last grant, for as long as the cell may start loads under it;
 	// zero otherwise.
-	Held Amount
+	LastGrant Loads
 }
 
 // Granter divides the total between cells. It grants nothing before Started has
 // been called. It is not safe for concurrent use.
 type Granter struct {
-	Total Amount
+	Total Loads
 
 	startedAt time.Time
 	cells     map[int]cellState
 }
 
 type cellState struct {
-	granted, inFlight, wanted, lastGrant Amount
+	granted, inFlight, wanted, lastGrant Loads
 	until                                time.Time
 }
 
-// Started records that this granter has taken over. It grants nothing until the
+// Start records that this granter has taken over. It grants nothing until the
 // grants of the previous granter have expired. Meanwhile, the requests of the
 // cells report their loads in flight.
-func (g *Granter) Started(now time.Time) {
+func (g *Granter) Start(now time.Time) {
 	g.startedAt = now
 	g.cells = make(map[int]cellState)
 }
 
 // Grant returns the grant for a request. It is valid for GrantFor from the time
 // of the request.
-func (g *Granter) Grant(a Ask, now time.Time) Amount {
+func (g *Granter) Grant(a Request, now time.Time) Loads {
 	if g.cells == nil {
-		return Amount{}
+		return Loads{}
 	}
 
 	g.expire(now)
 	delete(g.cells, a.Cell)
 
 	free := g.Total
-	all := a.Want
+	all := a.Wanted
 
 	for _, h := range g.cells {
 		counted := h.counted()
@@ -75,16 +75,16 @@
 		all.Adapters += h.wanted.Adapters
 	}
 
-	grant := Amount{
-		Models:   fairShare(g.Total.Models, a.Want.Models, all.Models, free.Models),
-		Adapters: fairShare(g.Total.Adapters, a.Want.Adapters, all.Adapters, free.Adapters),
+	grant := Loads{
+		Models:   fairShare(g.Total.Models, a.Wanted.Models, all.Models, free.Models),
+		Adapters: fairShare(g.Total.Adapters, a.Wanted.Adapters, all.Adapters, free.Adapters),
 	}
 
-	if now.Before(g.startedAt.Add(GrantFor + grantMargin)) {
-		grant = Amount{}
+	if now.Before(g.startedAt.Add(GrantDuration + grantMargin)) {
+		grant = Loads{}
 	}
 
-	g.cells[a.Cell] = cellState{granted: grant, inFlight: a.Using, wanted: a.Want, lastGrant: a.Held, until: now.Add(GrantFor + grantMargin)}
+	g.cells[a.Cell] = cellState{granted: grant, inFlight: a.InFlight, wanted: a.Wanted, lastGrant: a.LastGrant, until: now.Add(GrantDuration + grantMargin)}
 
 	return grant
 }
@@ -93,8 +93,8 @@
 // It includes loads in flight after the end of the grant, because a load that
 // was started under the grant continues, and the previous grant, because the
 // response with the newer one may be lost.
-func (h *cellState) counted() Amount {
-	return Amount{
+func (h *cellState) counted() Loads {
+	return Loads{
 		Models:   max(h.granted.Models, h.inFlight.Models, h.lastGrant.Models),
 		Adapters: max(h.granted.Adapters, h.inFlight.Adapters, h.lastGrant.Adapters),
 	}
@@ -104,7 +104,7 @@
 // reported it.
 func (g *Granter) expire(now time.Time) {
 	for cell, h := range g.cells {
-		idle := h.counted() == Amount{}
+		idle := h.counted() == Loads{}
 		if now.After(h.until.Add(loadTimeout)) || idle && now.After(h.until) {
 			delete(g.cells, cell)
 		}
--- a/internal/placement/share/share_test.go
+++ b/internal/placement/share/share_test.go
@@ -18,16 +18,16 @@
 		const cells, total = 6, 4
 
 		// allowed returns what a cell may still start under its last grant.
-		allowed := func(granted int, until, at time.Time) Amount {
+		allowed := func(granted int, until, at time.Time) Loads {
 			if at.Before(until) {
-				return Amount{Models: granted}
+				return Loads{Models: granted}
 			}
 
-			return Amount{}
+			return Loads{}
 		}
 
-		g := Granter{Total: Amount{Models: total, Adapters: 32}}
-		g.Started(now)
+		g := Granter{Total: Loads{Models: total, Adapters: 32}}
+		g.Start(now)
 
 		clock := now
 		granted := make([]int, cells)
@@ -43,10 +43,10 @@
 				// A new granter receives a request from every cell with loads in
 				// flight before its first grant, because each cell asks twice a
 				// second.
-				g.Started(clock)
+				g.Start(clock)
 
 				for i := range cells {
-					g.Grant(Ask{Cell: i, Using: Amount{Models: using[i]}, Held: allowed(granted[i], until[i], clock)}, clock)
+					g.Grant(Request{Cell: i, InFlight: Loads{Models: using[i]}, LastGrant: allowed(granted[i], until[i], clock)}, clock)
 				}
 			case 1, 2:
 				using[c] = max(0, using[c]-1)
@@ -55,9 +55,9 @@
 					using[c]++
 				}
 			default:
-				want := Amount{Models: using[c] + rapid.IntRange(0, 3).Draw(t, "want")}
-				granted[c] = g.Grant(Ask{Cell: c, Want: want, Using: Amount{Models: using[c]}, Held: allowed(granted[c], until[c], clock)}, clock).Models
-				until[c] = clock.Add(GrantFor)
+				want := Loads{Models: using[c] + rapid.IntRange(0, 3).Draw(t, "want")}
+				granted[c] = g.Grant(Request{Cell: c, Wanted: want, InFlight: Loads{Models: using[c]}, LastGrant: allowed(granted[c], until[c], clock)}, clock).Models
+				until[c] = clock.Add(GrantDuration)
 			}
 
 			sum := 0
@@ -73,11 +73,11 @@
 }
 
 func TestNewGranterWaits(t *testing.T) {
-	g := Granter{Total: Amount{Models: 4}}
-	a := Ask{Cell: 1, Want: Amount{Models: 2}}
+	g := Granter{Total: Loads{Models: 4}}
+	a := Request{Cell: 1, Wanted: Loads{Models: 2}}
 
 	assert.Equal(t, g.Grant(a, now).Models, 0, "the granter has not started")
-	g.Started(now)
-	assert.Equal(t, g.Grant(a, now.Add(GrantFor)).Models, 0)
-	assert.Equal(t, g.Grant(a, now.Add(GrantFor+grantMargin)).Models, 2)
+	g.Start(now)
+	assert.Equal(t, g.Grant(a, now.Add(GrantDuration)).Models, 0)
+	assert.Equal(t, g.Grant(a, now.Add(GrantDuration+grantMargin)).Models, 2)
 }
--- a/internal/wire/peer/client.go
+++ b/internal/wire/peer/client.go
@@ -77,19 +77,19 @@
 }
 
 // GrantShare asks for a cell's part of the loads.
-func (c *Client) GrantShare(ctx context.Context, a share.Ask) (share.Amount, error) {
+func (c *Client) GrantShare(ctx context.Context, a share.Request) (share.Loads, error) {
 	var out ShareGrant
 
 	err := c.Call(ctx, serviceName+".GrantShare", ShareAsk{
-		Cell: a.Cell, WantModels: a.Want.Models, WantAdapters: a.Want.Adapters,
-		UsingModels: a.Using.Models, UsingAdapters: a.Using.Adapters,
-		HeldModels: a.Held.Models, HeldAdapters: a.Held.Adapters,
+		Cell: a.Cell, WantModels: a.Wanted.Models, WantAdapters: a.Wanted.Adapters,
+		UsingModels: a.InFlight.Models, UsingAdapters: a.InFlight.Adapters,
+		HeldModels: a.LastGrant.Models, HeldAdapters: a.LastGrant.Adapters,
 	}, &out)
 	if err != nil {
-		return share.Amount{}, err
+		return share.Loads{}, err
 	}
 
-	return share.Amount{Models: out.Models, Adapters: out.Adapters}, nil
+	return share.Loads{Models: out.Models, Adapters: out.Adapters}, nil
 }
 
 // Reserve asks for a target for one suspect.
--- a/internal/wire/peer/peer_test.go
+++ b/internal/wire/peer/peer_test.go
@@ -69,7 +69,7 @@
 	return limit.Grant{Amount: a.Want, For: time.Second}
 }
 
-func (e *echo) GrantShare(a share.Ask) share.Amount             { return a.Want }
+func (e *echo) GrantShare(a share.Request) share.Loads          { return a.Wanted }
 func (e *echo) Reserve(instance.ID, string, time.Duration) bool { return true }
 func (e *echo) Unreserve(instance.ID, string)                   {}
 
@@ -156,8 +156,8 @@
 	assert.DeepEqual(t, h.ask, ask)
 	assert.DeepEqual(t, grant, limit.Grant{Amount: ask.Want, For: time.Second})
 
-	loads := share.Amount{Models: 2, Adapters: 3}
-	granted, err := c.GrantShare(ctx, share.Ask{Cell: 1, Want: loads})
+	loads := share.Loads{Models: 2, Adapters: 3}
+	granted, err := c.GrantShare(ctx, share.Request{Cell: 1, Wanted: loads})
 	assert.NilError(t, err)
 	assert.Equal(t, granted, loads)
 
--- a/internal/wire/peer/service.go
+++ b/internal/wire/peer/service.go
@@ -43,7 +43,7 @@
 	// Ask grants part of a plan's limits.
 	Ask(a limit.Ask) limit.Grant
 	// GrantShare grants a cell a part of the loads.
-	GrantShare(a share.Ask) share.Amount
+	GrantShare(a share.Request) share.Loads
 	// Reserve keeps a target for one suspect for a time. It reports false
 	// when another has it.
 	Reserve(id instance.ID, holder string, lasting time.Duration) bool
@@ -151,11 +151,11 @@
 
 // GrantShare is the remote call.
 func (s service) GrantShare(in ShareAsk, out *ShareGrant) error {
-	got := s.h.GrantShare(share.Ask{
-		Cell:  in.Cell,
-		Want:  share.Amount{Models: in.WantModels, Adapters: in.WantAdapters},
-		Using: share.Amount{Models: in.UsingModels, Adapters: in.UsingAdapters},
-		Held:  share.Amount{Models: in.HeldModels, Adapters: in.HeldAdapters},
+	got := s.h.GrantShare(share.Request{
+		Cell:      in.Cell,
+		Wanted:    share.Loads{Models: in.WantModels, Adapters: in.WantAdapters},
+		InFlight:  share.Loads{Models: in.UsingModels, Adapters: in.UsingAdapters},
+		LastGrant: share.Loads{Models: in.HeldModels, Adapters: in.HeldAdapters},
 	})
 	out.Models, out.Adapters = got.Models, got.Adapters
 
