--- a/internal/measure/figure/capacity.go
+++ b/internal/measure/figure/capacity.go
@@ -122,13 +122,13 @@
 		})
 	}
 
-	var b demand.Book
+	var b demand.Reports
 
 	now := time.Now()
 
 	return cost{
 		what: "demand report, by replicas in use", size: uses, bytes: size(wire.FromReport(r, now)),
-		time: timeOf(func() { b.Take(wire.ToReport(wire.FromReport(r, now), now), now) }),
+		time: timeOf(func() { b.Record(wire.ToReport(wire.FromReport(r, now), now), now) }),
 	}
 }
 
--- a/internal/placement/cell/orders.go
+++ b/internal/placement/cell/orders.go
@@ -323,7 +323,7 @@
 // idleEverywhere reports whether all entries have removed the replica from their
 // routing and run no request on it.
 func (t *leaseTerm) idleEverywhere(k ledger.Key, now time.Time) bool {
-	return t.published.omits(k) && t.demand.Quiet(k, t.held.Token, t.published.omittedSince(k), now)
+	return t.published.omits(k) && t.demand.Drained(k, t.held.Token, t.published.omittedSince(k), now)
 }
 
 // tryRemove removes the row if it may be removed; if not, it marks a row that
--- a/internal/placement/cell/term.go
+++ b/internal/placement/cell/term.go
@@ -36,7 +36,7 @@
 	mu     sync.Mutex
 	held   lease.Holding
 	ledger ledger.Ledger
-	demand demand.Book
+	demand demand.Reports
 	models map[string]weight.Checkpoint
 	// ledgerRead says that the ledger was read from the store, without which
 	// nothing may be decided.
@@ -209,7 +209,7 @@
 	defer t.mu.Unlock()
 
 	now := time.Now()
-	t.demand.Take(r, now)
+	t.demand.Record(r, now)
 
 	for _, d := range r.Waiting {
 		t.history.addUse(d.Model, now, d.Waiting)
--- a/internal/placement/demand/demand.go
+++ b/internal/placement/demand/demand.go
@@ -40,9 +40,9 @@
 // that long has died or is disconnected, and its requests have ended with it.
 const Expiry = 3 * time.Second
 
-// Book holds the last report of each entry. The zero value is empty. It is not
+// Reports holds the last report of each entry. The zero value is empty. It is not
 // safe for concurrent use.
-type Book struct {
+type Reports struct {
 	entries map[instance.ID]received
 }
 
@@ -52,8 +52,8 @@
 	at time.Time
 }
 
-// Take replaces the entry's report.
-func (b *Book) Take(r Report, now time.Time) {
+// Record replaces the entry's report.
+func (b *Reports) Record(r Report, now time.Time) {
 	if b.entries == nil {
 		b.entries = make(map[instance.ID]received)
 	}
@@ -63,7 +63,7 @@
 
 // Merged returns the demand of all entries, one element per model, sorted by
 // model. It deletes expired reports.
-func (b *Book) Merged(now time.Time) []replica.Demand {
+func (b *Reports) Merged(now time.Time) []replica.Demand {
 	merged := make(map[string]*replica.Demand)
 
 	for id, e := range b.entries {
@@ -118,9 +118,9 @@
 	into.Goal = replica.EarlierNonZero(into.Goal, d.Goal)
 }
 
-// Lines returns the number of entries at which requests wait, by the group of
+// WaitingEntries returns the number of entries at which requests wait, by the group of
 // their models.
-func (b *Book) Lines(now time.Time, group func(model string) string) map[string]int {
+func (b *Reports) WaitingEntries(now time.Time, group func(model string) string) map[string]int {
 	lines := make(map[string]int)
 
 	for _, e := range b.entries {
@@ -144,7 +144,7 @@
 
 // Running returns the number of requests that run on the replica, over all
 // entries.
-func (b *Book) Running(k ledger.Key) int {
+func (b *Reports) Running(k ledger.Key) int {
 	n := 0
 
 	for _, e := range b.entries {
@@ -159,7 +159,7 @@
 }
 
 // Uses returns the uses of all reports.
-func (b *Book) Uses() []Use {
+func (b *Reports) Uses() []Use {
 	var out []Use
 	for _, e := range b.entries {
 		out = append(out, e.Uses...)
@@ -168,11 +168,11 @@
 	return out
 }
 
-// Quiet reports whether the entries have stopped sending requests to the
+// Drained reports whether the entries have stopped sending requests to the
 // replica: every entry whose report has not expired has applied the snapshot
 // that removed the replica, or a later one, and no request runs there. Entries
 // whose reports have expired do not delay the unload.
-func (b *Book) Quiet(k ledger.Key, token, number uint64, now time.Time) bool {
+func (b *Reports) Drained(k ledger.Key, token, number uint64, now time.Time) bool {
 	for _, e := range b.entries {
 		if now.Sub(e.at) > Expiry {
 			continue
@@ -188,7 +188,7 @@
 }
 
 // Entries returns the number of entries whose reports have not expired.
-func (b *Book) Entries(now time.Time) int {
+func (b *Reports) Entries(now time.Time) int {
 	n := 0
 
 	for _, e := range b.entries {
--- a/internal/placement/demand/demand_test.go
+++ b/internal/placement/demand/demand_test.go
@@ -15,10 +15,10 @@
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func TestMerged(t *testing.T) {
-	var b Book
+	var b Reports
 
 	for i := range 8 {
-		b.Take(Report{
+		b.Record(Report{
 			Entry: instance.ID(fmt.Sprint(i)),
 			Waiting: []replica.Demand{{
 				Model: "m", Plan: fmt.Sprint("p", i), Waiting: 2, Priority: i, Deadline: now.Add(time.Duration(10-i) * time.Second),
@@ -54,12 +54,12 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var b Book
+			var b Reports
 			for _, r := range tc.reports {
-				b.Take(r, now)
+				b.Record(r, now)
 			}
 
-			assert.Equal(t, b.Quiet(k, 2, 5, now), tc.want)
+			assert.Equal(t, b.Drained(k, 2, 5, now), tc.want)
 		})
 	}
 }
--- a/internal/placement/holder/holder.go
+++ b/internal/placement/holder/holder.go
@@ -63,7 +63,7 @@
 	// mayOrder is from when on this holder may send orders, and stockBy until
 	// when it waits for what the engines hold.
 	mayOrder, stockBy time.Time
-	asks              demand.Book
+	asks              demand.Reports
 	// rates follow the demand of the moment, and habits that of half a minute.
 	rates, habits rates
 	stations      map[instance.ID]*station
@@ -209,7 +209,7 @@
 		return &NotHolderError{Hint: h.last.Holder}
 	}
 
-	h.asks.Take(r, time.Now())
+	h.asks.Record(r, time.Now())
 	h.noteUses(r, clock.Now())
 
 	for _, m := range missing {
--- a/internal/placement/holder/station.go
+++ b/internal/placement/holder/station.go
@@ -409,7 +409,7 @@
 	}
 
 	running := h.usage().running
-	lines := h.asks.Lines(time.Now(), ModelOf)
+	lines := h.asks.WaitingEntries(time.Now(), ModelOf)
 
 	for id, s := range h.stations {
 		st := Station{Target: id, Born: s.target.Born, Sequence: s.sequence, Running: running[id]}
