--- a/internal/measure/figure/capacity.go
+++ b/internal/measure/figure/capacity.go
@@ -285,11 +285,11 @@
 func histories(n int) cost {
 	const perUnit = 5
 
-	build := func() *history.Book {
-		var b history.Book
+	build := func() *history.Registry {
+		var b history.Registry
 
 		for i := range n * perUnit {
-			b.Used(fmt.Sprintf("adapter-%06d", i), time.Now())
+			b.RecordUse(fmt.Sprintf("adapter-%06d", i), time.Now())
 		}
 
 		return &b
--- a/internal/measure/replay/replay.go
+++ b/internal/measure/replay/replay.go
@@ -121,7 +121,7 @@
 	queue   events
 	seq     int
 	book    ledger.Ledger
-	past    history.Book
+	past    history.Registry
 	waiting map[string][]waiter
 	running map[string]int
 	// at is the index of the next use, for the oracle.
@@ -180,10 +180,10 @@
 }
 
 func (w *world) learn(u arrival.Use) {
-	w.past.Used(u.Model, u.At)
+	w.past.RecordUse(u.Model, u.At)
 
 	if base := w.site.Models[u.Model].Base; base != "" {
-		w.past.Used(base, u.At)
+		w.past.RecordUse(base, u.At)
 	}
 }
 
--- a/internal/placement/cell/history.go
+++ b/internal/placement/cell/history.go
@@ -12,7 +12,7 @@
 
 // modelHistory is the history of the uses of the cell's models.
 type modelHistory struct {
-	uses history.Book
+	uses history.Registry
 	// loaded says that the stored history was read, or that there is none.
 	loaded bool
 	// candidateModels are the models that may be worth loading ahead of use, as
@@ -44,7 +44,7 @@
 // not zero.
 func (h *modelHistory) addUse(model string, now time.Time, n int) {
 	if n > 0 {
-		h.uses.Used(model, now)
+		h.uses.RecordUse(model, now)
 	}
 }
 
--- a/internal/placement/history/history.go
+++ b/internal/placement/history/history.go
@@ -45,9 +45,9 @@
 	last  time.Time
 }
 
-// Book holds the recorded use of all models. The zero value is empty. It is not
+// Registry holds the recorded use of all models. The zero value is empty. It is not
 // safe for concurrent use.
-type Book struct {
+type Registry struct {
 	// Location is the time zone of the days; nil means UTC.
 	Location *time.Location
 
@@ -55,7 +55,7 @@
 	pooled [gapBuckets]float32
 }
 
-func (b *Book) inLocation(t time.Time) time.Time {
+func (b *Registry) inLocation(t time.Time) time.Time {
 	if b.Location == nil {
 		return t.UTC()
 	}
@@ -81,8 +81,8 @@
 	return time.Second << bucket
 }
 
-// Used records a use of the model.
-func (b *Book) Used(name string, at time.Time) {
+// RecordUse records a use of the model.
+func (b *Registry) RecordUse(name string, at time.Time) {
 	if b.models == nil {
 		b.models = make(map[string]*usage)
 	}
@@ -162,7 +162,7 @@
 
 // Rate returns the predicted number of uses per second of the model at its
 // busiest moment in the given duration from now.
-func (b *Book) Rate(name string, now time.Time, ahead time.Duration) float64 {
+func (b *Registry) Rate(name string, now time.Time, ahead time.Duration) float64 {
 	m := b.models[name]
 	if m == nil {
 		return 0
@@ -177,7 +177,7 @@
 // gapRate returns the hazard rate of the gaps: the probability per second of a
 // use, given how long the model has been idle. A model with few gaps of its own
 // is predicted mostly from the gaps of all models.
-func (b *Book) gapRate(m *usage, idle, ahead time.Duration) float64 {
+func (b *Registry) gapRate(m *usage, idle, ahead time.Duration) float64 {
 	var pooled float64
 	for _, n := range b.pooled {
 		pooled += float64(n)
@@ -243,7 +243,7 @@
 
 // Candidates returns the models whose rate in the given duration from now is at
 // least least, in no particular order.
-func (b *Book) Candidates(now time.Time, ahead time.Duration, least float64) []string {
+func (b *Registry) Candidates(now time.Time, ahead time.Duration, least float64) []string {
 	var out []string
 
 	for name := range b.models {
@@ -256,4 +256,4 @@
 }
 
 // Len returns the number of models with a recorded use.
-func (b *Book) Len() int { return len(b.models) }
+func (b *Registry) Len() int { return len(b.models) }
--- a/internal/placement/history/history_test.go
+++ b/internal/placement/history/history_test.go
@@ -17,12 +17,12 @@
 // predicted to be used shortly before nine on the next workday, but not at noon
 // and not on a Saturday.
 func TestMornings(t *testing.T) {
-	var b Book
+	var b Registry
 
 	for day := range 12 {
 		if kindOf(dayOf(at(day, 0))) == 0 {
 			for n := range 10 {
-				b.Used("m", at(day, 9*time.Hour+time.Duration(n)*time.Minute))
+				b.RecordUse("m", at(day, 9*time.Hour+time.Duration(n)*time.Minute))
 			}
 		}
 	}
@@ -39,14 +39,14 @@
 // TestSessions checks that the next use is predicted soon while a session lasts,
 // and with a lower rate the longer the model has been idle.
 func TestSessions(t *testing.T) {
-	var b Book
+	var b Registry
 
 	clock := monday
 
 	for session := range 20 {
 		for range 15 {
 			clock = clock.Add(20 * time.Second)
-			b.Used("m", clock)
+			b.RecordUse("m", clock)
 		}
 
 		clock = clock.Add(time.Duration(3+session%5) * time.Hour)
@@ -64,32 +64,32 @@
 // TestFewUses checks that the prediction for a model with a single use is based
 // on the uses of other models.
 func TestFewUses(t *testing.T) {
-	var b Book
+	var b Registry
 
 	for i := range 50 {
 		clock := monday
 		for range 10 {
 			clock = clock.Add(30 * time.Second)
-			b.Used(fmt.Sprint(i), clock)
+			b.RecordUse(fmt.Sprint(i), clock)
 		}
 	}
 
-	b.Used("new", monday)
+	b.RecordUse("new", monday)
 	assert.Assert(t, b.Rate("new", monday.Add(10*time.Second), 15*time.Second) > 0.01)
 }
 
 func TestSaveAndRestore(t *testing.T) {
-	var b Book
+	var b Registry
 
 	for day := range 9 {
-		b.Used("a", at(day, 9*time.Hour))
-		b.Used("b/with:odd.name", at(day, 15*time.Hour))
+		b.RecordUse("a", at(day, 9*time.Hour))
+		b.RecordUse("b/with:odd.name", at(day, 15*time.Hour))
 	}
 
 	data := b.Save()
 	assert.Assert(t, len(data) < 2*500+200, "%d bytes", len(data))
 
-	var got Book
+	var got Registry
 
 	assert.NilError(t, got.Restore(data))
 	assert.Equal(t, got.Len(), 2)
@@ -107,11 +107,11 @@
 }
 
 func TestCandidates(t *testing.T) {
-	var b Book
+	var b Registry
 
 	for day := range 5 {
-		b.Used("morning", at(day, 9*time.Hour))
-		b.Used("evening", at(day, 20*time.Hour))
+		b.RecordUse("morning", at(day, 9*time.Hour))
+		b.RecordUse("evening", at(day, 20*time.Hour))
 	}
 
 	assert.DeepEqual(t, b.Candidates(at(7, 9*time.Hour-time.Minute), 2*time.Minute, 1e-4), []string{"morning"})
--- a/internal/placement/history/save.go
+++ b/internal/placement/history/save.go
@@ -35,7 +35,7 @@
 func (e *FormatError) Error() string { return "history: " + e.Reason }
 
 // Save returns the book as bytes, about 400 per model.
-func (b *Book) Save() []byte {
+func (b *Registry) Save() []byte {
 	var buf bytes.Buffer
 
 	write := func(v any) { _ = binary.Write(&buf, binary.LittleEndian, v) }
@@ -58,7 +58,7 @@
 }
 
 // Restore adds the saved models that the book has no record of.
-func (b *Book) Restore(data []byte) error {
+func (b *Registry) Restore(data []byte) error {
 	r := bytes.NewReader(data)
 
 	var h header
