--- a/internal/placement/holder/confirm.go
+++ b/internal/placement/holder/confirm.go
@@ -10,68 +10,71 @@
 )
 
 const (
-	// confirmEvery is the time between two questions to an engine whether a load
-	// from the weight store has ended.
-	confirmEvery = 100 * time.Millisecond
-	// unconfirmed is how far the end of a load is put off until its engine has
-	// said that it ended: longer than it takes until entries hear the next news.
-	unconfirmed = publishEvery + 200*time.Millisecond
-	// loadMost is how many times as long as said a load may take before the
-	// engine is asked what it holds instead.
-	loadMost = 4
+	// confirmInterval is the time between two requests for a report during a
+	// load from the weight store.
+	confirmInterval = 100 * time.Millisecond
+	// unconfirmedMargin is how far in the future the published end of a load
+	// is kept until its engine has confirmed it. It exceeds the time until
+	// entries receive the next snapshot.
+	unconfirmedMargin = publishInterval + 200*time.Millisecond
+	// maxLoadFactor times its planned duration is how long a load may take.
+	// After that the holder stops waiting for the end, and requests a full
+	// report if the model is found missing.
+	maxLoadFactor = 4
 )
 
-// awaitLoads asks engines whether their loads from the weight store have ended,
-// which entries are told only then. The caller holds the lock.
+// confirmLoads asks engines whether their loads from the weight store have
+// ended. Entries send requests only after that. The caller holds the lock.
 //
-// It answers the load of many targets that start empty: the store shares its
-// speed among their loads and nobody says how many it has in hand, so that loads
-// end later than they would alone. Requests that are sent at that time are
-// refused by the target and use up their repeats.
-func (h *Holder) awaitLoads(ctx context.Context, now time.Time) {
-	for _, s := range h.stations {
-		if s.storeLoad == "" || s.working || now.Before(s.loading.Add(-unconfirmed)) {
+// When many targets start empty, the store shares its bandwidth among their
+// loads, whose number the holder cannot observe, so loads end later than
+// planned. Requests sent before that are refused by the target and use up
+// their retries.
+func (h *Holder) confirmLoads(ctx context.Context, now time.Time) {
+	for _, eng := range h.engines {
+		if eng.storeLoad == "" || eng.inFlight || now.Before(eng.loadEnds.Add(-unconfirmedMargin)) {
 			continue
 		}
 
-		res := s.held[s.storeLoad]
-		if res == nil || now.Sub(s.loadBegan) > loadMost*s.takes {
-			s.storeLoad = ""
+		resident := eng.models[eng.storeLoad]
+		if resident == nil || now.Sub(eng.loadStarted) > maxLoadFactor*eng.loadTime {
+			eng.storeLoad = ""
 
 			continue
 		}
 
-		res.ready = clock.Later(res.ready, now.Add(unconfirmed))
+		resident.ready = clock.Later(resident.ready, now.Add(unconfirmedMargin))
 
-		if !now.Before(s.loading) {
-			h.begin(s, func() { h.confirm(ctx, s) })
+		if !now.Before(eng.loadEnds) {
+			h.startWork(eng, func() { h.confirmLoad(ctx, eng) })
 		}
 	}
 }
 
-// confirm takes in whether a load from the weight store has ended.
-func (h *Holder) confirm(ctx context.Context, s *station) {
-	r, err := h.report(ctx, s)
+// confirmLoad requests a report and checks whether a load from the weight
+// store has ended.
+func (h *Holder) confirmLoad(ctx context.Context, eng *trackedEngine) {
+	r, err := h.report(ctx, eng)
 
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
 	now := clock.Now()
-	// A report that is older than the order says nothing.
-	current := err == nil && r.Sequence >= s.sequence
+	// A report with a lower sequence predates the order of the load.
+	current := err == nil && r.Sequence >= eng.sequence
 
-	switch ended := slices.ContainsFunc(r.Held, func(held inventory.Held) bool { return held.Model == s.storeLoad }); {
+	switch ended := slices.ContainsFunc(r.Held, func(held inventory.Held) bool { return held.Model == eng.storeLoad }); {
 	case current && ended:
-		if res := s.held[s.storeLoad]; res != nil {
-			res.ready = now
+		if resident := eng.models[eng.storeLoad]; resident != nil {
+			resident.ready = now
 		}
 
-		h.cfg.Log.Info().Str("target", string(s.origin.ID)).Str("model", s.storeLoad).Dur("took", now.Sub(s.loadBegan)).Dur("said", s.takes).Msg("load ended")
-		s.storeLoad, s.loading, h.published = "", now, false
+		h.cfg.Log.Info().Str("target", string(eng.origin.ID)).Str("model", eng.storeLoad).Dur("took", now.Sub(eng.loadStarted)).Dur("said", eng.loadTime).Msg("load ended")
+		eng.storeLoad, eng.loadEnds, h.published = "", now, false
 	case current && !r.Busy:
-		h.cfg.Log.Warn().Str("target", string(s.origin.ID)).Str("model", s.storeLoad).Dur("after", now.Sub(s.loadBegan)).Msg("load lost")
-		s.storeLoad, s.known = "", false
+		h.cfg.Log.Warn().Str("target", string(eng.origin.ID)).Str("model", eng.storeLoad).Dur("after", now.Sub(eng.loadStarted)).Msg("load failed")
+		eng.storeLoad, eng.synced = "", false
 	default:
-		s.loading = now.Add(confirmEvery)
+		eng.loadEnds = now.Add(confirmInterval)
 	}
 }
--- a/internal/placement/holder/decide.go
+++ b/internal/placement/holder/decide.go
@@ -16,16 +16,17 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/route"
 )
 
-// adapterTime is what the load of an adapter takes, and the way of the order.
-const adapterTime = 20 * time.Millisecond
+// adapterLoadTime is the time to load an adapter, including the order's
+// transit.
+const adapterLoadTime = 20 * time.Millisecond
 
-// want is what is asked for under one key.
-type want struct {
+// keyDemand is the demand for one key.
+type keyDemand struct {
 	service, model, adapter string
 	swap.Want
 }
 
-// splitKey takes a key apart into service, model and adapter.
+// splitKey splits a key into service, model and adapter.
 func splitKey(key string) (service, model, adapter string) {
 	service, rest, _ := strings.Cut(key, "/")
 	model, adapter, _ = strings.Cut(rest, "/")
@@ -33,110 +34,111 @@
 	return service, model, adapter
 }
 
-// noteUses learns from an entry's report when what was used last. The caller
-// holds the lock.
-func (h *Holder) noteUses(r demand.Report, now time.Time) {
+// recordUses updates arrival rates and times of last use from an entry's
+// report. The caller holds the lock.
+func (h *Holder) recordUses(r demand.Report, now time.Time) {
 	for _, d := range r.Waiting {
 		_, model, _ := splitKey(d.Model)
-		h.rates.add(model, d.Arrived)
-		h.habits.add(model, d.Arrived)
+		h.shortRates.add(model, d.Arrived)
+		h.longRates.add(model, d.Arrived)
 	}
 
 	for _, u := range r.Uses {
 		_, model, adapter := splitKey(u.Model)
 
-		s := h.stations[u.Target]
-		if s == nil || s.held[model] == nil {
+		eng := h.engines[u.Target]
+		if eng == nil || eng.models[model] == nil {
 			continue
 		}
 
-		s.held[model].used = now
+		eng.models[model].used = now
 
-		if a := s.held[model].adapters[adapter]; a != nil {
+		if a := eng.models[model].adapters[adapter]; a != nil {
 			a.used = now
 		}
 	}
 }
 
-// decide does what is due while the lease is held.
+// decide runs one round of decisions while the lease is valid.
 func (h *Holder) decide(ctx context.Context) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
 	now := clock.Now()
-	if !h.held.Valid(now, h.cfg.Terms) {
+	if !h.lease.Valid(now, h.cfg.Terms) {
 		return
 	}
 
 	h.sync(now)
-	h.awaitLoads(ctx, now)
-	h.rates.decay(now)
-	h.habits.decay(now)
+	h.confirmLoads(ctx, now)
+	h.shortRates.decay(now)
+	h.longRates.decay(now)
 
-	// A holder that waits for what it has in hand begins nothing more.
+	// A holder that waits for its orders in flight starts no more.
 	if !h.draining {
-		h.inquireUnknown(ctx, now)
+		h.inquireUnsynced(ctx, now)
 	}
 
-	if !now.Before(h.mayOrder) && !h.draining {
-		h.order(ctx, now)
+	if !now.Before(h.ordersFrom) && !h.draining {
+		h.orderLoads(ctx, now)
 	}
 
-	if !h.published || now.Sub(h.heard) >= publishEvery {
+	if !h.published || now.Sub(h.snapshotAt) >= publishInterval {
 		h.publish(now)
 	}
 }
 
-// publish sends news. The caller holds the lock.
+// publish publishes a snapshot. The caller holds the lock.
 func (h *Holder) publish(now time.Time) {
-	h.last, h.heard, h.published = h.news(), now, true
-	h.cfg.Publish(h.last)
+	h.snapshot, h.snapshotAt, h.published = h.buildSnapshot(), now, true
+	h.cfg.Publish(h.snapshot)
 }
 
-// order begins the loads that are due. The caller holds the lock.
-func (h *Holder) order(ctx context.Context, now time.Time) {
+// orderLoads starts the loads that are due. The caller holds the lock.
+func (h *Holder) orderLoads(ctx context.Context, now time.Time) {
 	routes := h.cfg.Routes()
 	if routes == nil {
 		return
 	}
 
-	if now.Before(h.stockBy) && h.unknown() {
+	if now.Before(h.inventoryBy) && h.anyUnsynced() {
 		return
 	}
 
-	wants, used := h.wants(), h.usage()
+	demands, inUse := h.demandByKey(), h.usage()
 
 	for name, service := range routes.Services {
 		if service.Engine == nil {
 			continue
 		}
 
-		h.orderModels(ctx, name, service.Engine, wants, used, now)
-		h.orderAdapters(ctx, name, service.Engine, wants, used, now)
+		h.orderModels(ctx, name, service.Engine, demands, inUse, now)
+		h.orderAdapters(ctx, name, service.Engine, demands, inUse, now)
 	}
 }
 
-// takeStock is how long a new holder waits until all engines have said what
-// they hold. Without it the first few that answer would be given loads of
-// models that others have.
-const takeStock = 1200 * time.Millisecond
-
-// inquireUnknown asks the engines that have not said what they hold. A new
-// holder does so before it may order: asking is no order, and after a death
-// the first load comes sooner than when it waits first and asks then.
-func (h *Holder) inquireUnknown(ctx context.Context, now time.Time) {
-	for _, s := range h.stations {
-		if !s.known && !s.working && now.Sub(s.doubted) >= reportAgain {
-			s.doubted = now
-			h.begin(s, func() { h.inquire(ctx, s) })
+// inventoryWait is how long a new holder waits for the reports of all engines.
+// Without it the first engines to report would get loads of models that others
+// already hold.
+const inventoryWait = 1200 * time.Millisecond
+
+// inquireUnsynced requests reports from the engines that are not synced. A new
+// holder does so before it may send orders, since a request for a report is no
+// order: after a crash of the former holder the first load then starts
+// earlier.
+func (h *Holder) inquireUnsynced(ctx context.Context, now time.Time) {
+	for _, eng := range h.engines {
+		if !eng.synced && !eng.inFlight && now.Sub(eng.doubtedAt) >= reportRetryDelay {
+			eng.doubtedAt = now
+			h.startWork(eng, func() { h.inquire(ctx, eng) })
 		}
 	}
 }
 
-// unknown reports whether some engine has not said what it holds.
-func (h *Holder) unknown() bool {
-	for _, s := range h.stations {
-		if !s.known && s.serves() {
+// anyUnsynced reports whether an engine that serves requests is not synced.
+func (h *Holder) anyUnsynced() bool {
+	for _, eng := range h.engines {
+		if !eng.synced && eng.serves() {
 			return true
 		}
 	}
@@ -144,110 +146,113 @@
 	return false
 }
 
-// wants returns what is asked for, by key.
-func (h *Holder) wants() []want {
-	var out []want
+// demandByKey returns the demand of all entries, by key.
+func (h *Holder) demandByKey() []keyDemand {
+	var out []keyDemand
 
-	for _, d := range h.asks.Merged(time.Now()) {
-		w := want{Want: swap.Want{Waiting: d.Waiting, Running: d.Running, Deadline: d.Deadline, Goal: d.Goal, Priority: d.Priority}}
-		w.service, w.model, w.adapter = splitKey(d.Model)
-		out = append(out, w)
+	for _, d := range h.demand.Merged(time.Now()) {
+		kd := keyDemand{Want: swap.Want{Waiting: d.Waiting, Running: d.Running, Deadline: d.Deadline, Goal: d.Goal, Priority: d.Priority}}
+		kd.service, kd.model, kd.adapter = splitKey(d.Model)
+		out = append(out, kd)
 	}
 
 	return out
 }
 
-func (h *Holder) orderModels(ctx context.Context, service string, e *route.Engine, wants []want, used usage, now time.Time) {
+func (h *Holder) orderModels(ctx context.Context, service string, e *route.Engine, demands []keyDemand, inUse usage, now time.Time) {
 	v := &swap.View{
-		Now: now, Engine: e, Wants: byModel(service, wants), Rate: h.rates.perSecond, Habit: h.habits.perSecond, Promised: h.promised(service), StoreLoads: int(h.feed(service).carries()),
+		Now: now, Engine: e, Wants: sumByModel(service, demands), Rate: h.shortRates.perSecond, Habit: h.longRates.perSecond, Promised: h.predictedSince(service), StoreLoads: int(h.storeCapacity(service).fullSpeed()),
 	}
-	for id, s := range h.stations {
-		if s.target.Service != service {
+	for id, eng := range h.engines {
+		if eng.target.Service != service {
 			continue
 		}
 
-		if s.storeLoad != "" {
+		if eng.storeLoad != "" {
 			v.StoreLoads--
-			v.StoreEnds = append(v.StoreEnds, max(0, s.loading.Sub(now)))
+			v.StoreEnds = append(v.StoreEnds, max(0, eng.loadEnds.Sub(now)))
 		}
 
-		v.Targets = append(v.Targets, s.view(now, used.running[id], used.byModel[id]))
+		v.Targets = append(v.Targets, eng.planTarget(now, inUse.running[id], inUse.byModel[id]))
 	}
 
 	slices.SortFunc(v.Targets, func(a, b swap.Target) int { return cmp.Compare(a.ID, b.ID) })
 
-	v.StoreSlower = h.feed(service).slower(len(v.StoreEnds))
+	v.StoreSlower = h.storeCapacity(service).slowdown(len(v.StoreEnds))
 	v.Risk = h.risk(service, v)
 	round := swap.Plan(v)
-	h.foretell(service, round.Ready, now)
+	h.predict(service, round.Ready, now)
 
 	for _, m := range round.Moves {
-		s := h.stations[m.Target]
+		eng := h.engines[m.Target]
 		h.cfg.Log.Info().Str("target", string(m.Target)).Str("load", m.Load).Strs("unload", m.Unload).Int("tier", int(m.From)).
-			Dur("takes", m.Takes).Str("for", string(m.For)).Uint64("token", h.held.Token).Uint64("sequence", s.sequence).Msg("swap decided")
-		h.reserve(s, m, now)
-		h.begin(s, func() { h.swap(ctx, s, m) })
+			Dur("takes", m.Takes).Str("for", string(m.For)).Uint64("token", h.lease.Token).Uint64("sequence", eng.sequence).Msg("swap decided")
+		h.reserve(eng, m, now)
+		h.startWork(eng, func() { h.swap(ctx, eng, m) })
 	}
 }
 
-// reserve books a swap before its orders are sent, so that the next round
-// counts with it and entries stop sending to what makes way.
-func (h *Holder) reserve(s *station, m swap.Move, now time.Time) {
+// reserve records a swap before its orders are sent, so that the next round
+// includes it and entries stop sending requests for the models to be unloaded.
+func (h *Holder) reserve(eng *trackedEngine, m swap.Move, now time.Time) {
 	for _, model := range m.Unload {
-		delete(s.held, model)
+		delete(eng.models, model)
 	}
 
-	s.held[m.Load] = &residence{ready: now.Add(m.Takes + unordered), used: now, adapters: make(map[string]*placed)}
-	s.ordering, s.takes, s.storeLoad = m.Load, m.Takes, ""
+	eng.models[m.Load] = &trackedModel{ready: now.Add(m.Takes + unacceptedMargin), used: now, adapters: make(map[string]*trackedAdapter)}
+	eng.unacceptedLoad, eng.loadTime, eng.storeLoad = m.Load, m.Takes, ""
 	h.published = false
 
 	if m.From == target.TierRemote {
-		s.storeLoad = m.Load
+		eng.storeLoad = m.Load
 	}
 }
 
-// postpone puts off the end of a load whose order no engine has accepted yet.
+// postponeLoad delays the expected end of a load that the engine has not yet
+// accepted.
 //
-// It answers the load of busy targets: an unload waits for the runs on its model,
-// and callers of the next one would be sent to where its load has not begun.
-func (s *station) postpone(now time.Time) {
-	if res := s.held[s.ordering]; res != nil {
-		res.ready = clock.Later(res.ready, now.Add(s.takes+foretold))
+// On a busy target an unload waits for the running requests of its model.
+// Meanwhile entries must not send requests for the next model, whose load has
+// not started.
+func (eng *trackedEngine) postponeLoad(now time.Time) {
+	if resident := eng.models[eng.unacceptedLoad]; resident != nil {
+		resident.ready = clock.Later(resident.ready, now.Add(eng.loadTime+orderMargin))
 	}
 }
 
-// unordered is how much later than its own time a load is expected to end
-// while its order has not been accepted.
-const unordered = 300 * time.Millisecond
+// unacceptedMargin is added to the duration of a load until its order is
+// accepted.
+const unacceptedMargin = 300 * time.Millisecond
 
-// orderTime is what an order in hand takes of which no load is known yet: an
-// unload, or a report.
+// orderTime is the assumed duration of an order that is not a load, such as an
+// unload or a request for a report.
 const orderTime = 300 * time.Millisecond
 
-// byModel sums the wants of a service's models and their adapters.
-func byModel(service string, wants []want) []swap.Want {
+// sumByModel sums the demand for a service's models and their adapters, by
+// model.
+func sumByModel(service string, demands []keyDemand) []swap.Want {
 	sums := make(map[string]*swap.Want)
 
 	var order []string
 
-	for _, w := range wants {
-		if w.service != service || w.model == "" {
+	for _, kd := range demands {
+		if kd.service != service || kd.model == "" {
 			continue
 		}
 
-		sum := sums[w.model]
+		sum := sums[kd.model]
 		if sum == nil {
-			sum = &swap.Want{Model: w.model}
-			sums[w.model] = sum
-			order = append(order, w.model)
+			sum = &swap.Want{Model: kd.model}
+			sums[kd.model] = sum
+			order = append(order, kd.model)
 		}
 
-		sum.Waiting += w.Waiting
-		sum.Running += w.Running
-		sum.Priority = max(sum.Priority, w.Priority)
+		sum.Waiting += kd.Waiting
+		sum.Running += kd.Running
+		sum.Priority = max(sum.Priority, kd.Priority)
 
-		sum.Deadline = replica.Soonest(sum.Deadline, w.Deadline)
-		sum.Goal = replica.Soonest(sum.Goal, w.Goal)
+		sum.Deadline = replica.Soonest(sum.Deadline, kd.Deadline)
+		sum.Goal = replica.Soonest(sum.Goal, kd.Goal)
 	}
 
 	out := make([]swap.Want, 0, len(order))
@@ -258,19 +263,20 @@
 	return out
 }
 
-// usage is how many requests run, over all entries.
+// usage counts running requests over all entries.
 type usage struct {
-	// running counts them by target, and byModel by the target's models and
-	// adapters, an adapter's name behind its model's with a slash between.
+	// running counts them by target, and byModel by target and name. The name
+	// is that of the model, or model/adapter.
 	running map[instance.ID]int
 	byModel map[instance.ID]map[string]int
 }
 
-// usage counts what the entries reported. The caller holds the lock.
+// usage counts the running requests that the entries reported. The caller
+// holds the lock.
 func (h *Holder) usage() usage {
 	out := usage{running: make(map[instance.ID]int), byModel: make(map[instance.ID]map[string]int)}
 
-	for _, u := range h.asks.Uses() {
+	for _, u := range h.demand.Uses() {
 		_, model, adapter := splitKey(u.Model)
 		out.running[u.Target] += u.Running
 
@@ -288,44 +294,45 @@
 	return out
 }
 
-// view returns the station as the plan sees it.
-func (s *station) view(now time.Time, running int, uses map[string]int) swap.Target {
+// planTarget returns the engine as input for the plan.
+func (eng *trackedEngine) planTarget(now time.Time, running int, uses map[string]int) swap.Target {
 	t := swap.Target{
-		ID: s.target.ID, Free: s.known && !s.working && !now.Before(s.loading),
-		Serving: s.serves(), AtHand: s.atHand, Running: running,
+		ID: eng.target.ID, Free: eng.synced && !eng.inFlight && !now.Before(eng.loadEnds),
+		Serving: eng.serves(), AtHand: eng.localTiers, Running: running,
 	}
 
 	if !t.Free {
-		t.FreeIn = max(orderTime, s.loading.Sub(now))
-
-		// Nothing tells how long an order of another holder lasts yet, so it is
-		// taken to last as long again. Callers would wait for this target, a
-		// moment at a time, while others could load their model.
-		if !s.busySince.IsZero() {
-			t.FreeIn = max(t.FreeIn, now.Sub(s.busySince))
+		t.FreeIn = max(orderTime, eng.loadEnds.Sub(now))
+
+		// The remaining time of another holder's order is unknown, so it is
+		// assumed to take as long again as it has taken so far. A fixed short
+		// time would make requests wait for this target again and again while
+		// others could load their model.
+		if !eng.busySince.IsZero() {
+			t.FreeIn = max(t.FreeIn, now.Sub(eng.busySince))
 		}
 	}
 
-	for model, res := range s.held {
+	for model, resident := range eng.models {
 		t.Held = append(t.Held, swap.Resident{
-			Model: model, Running: uses[model], Used: res.used, Coming: now.Before(res.ready),
+			Model: model, Running: uses[model], Used: resident.used, Coming: now.Before(resident.ready),
 		})
 	}
 
 	return t
 }
 
-func (h *Holder) orderAdapters(ctx context.Context, service string, e *route.Engine, wants []want, used usage, now time.Time) {
-	for _, w := range wants {
-		if w.service != service || w.adapter == "" || w.Waiting == 0 || h.adapterPlaced(w) {
+func (h *Holder) orderAdapters(ctx context.Context, service string, e *route.Engine, demands []keyDemand, inUse usage, now time.Time) {
+	for _, kd := range demands {
+		if kd.service != service || kd.adapter == "" || kd.Waiting == 0 || h.adapterPlaced(kd) {
 			continue
 		}
 
 		var sites []swap.Site
 
-		for id, s := range h.stations {
-			if s.target.Service == service && s.takesAdapter(w.model, now) {
-				sites = append(sites, s.site(id, used.running[id], used.byModel[id]))
+		for id, eng := range h.engines {
+			if eng.target.Service == service && eng.acceptsAdapter(kd.model, now) {
+				sites = append(sites, eng.site(id, inUse.running[id], inUse.byModel[id]))
 			}
 		}
 
@@ -334,21 +341,21 @@
 			continue
 		}
 
-		s := h.stations[m.Target]
-		h.cfg.Log.Info().Str("target", string(m.Target)).Str("model", w.model).Str("adapter", w.adapter).
-			Str("unload", m.Unload).Uint64("sequence", s.sequence).Msg("adapter decided")
-		h.begin(s, func() { h.loadAdapter(ctx, s, w.model, w.adapter, m.Unload) })
+		eng := h.engines[m.Target]
+		h.cfg.Log.Info().Str("target", string(m.Target)).Str("model", kd.model).Str("adapter", kd.adapter).
+			Str("unload", m.Unload).Uint64("sequence", eng.sequence).Msg("adapter decided")
+		h.startWork(eng, func() { h.loadAdapter(ctx, eng, kd.model, kd.adapter, m.Unload) })
 	}
 }
 
-// adapterPlaced reports whether an adapter is on a target, or on its way.
-func (h *Holder) adapterPlaced(w want) bool {
-	for _, s := range h.stations {
-		if !s.serves() || s.target.Service != w.service {
+// adapterPlaced reports whether an adapter is on a target or being loaded.
+func (h *Holder) adapterPlaced(kd keyDemand) bool {
+	for _, eng := range h.engines {
+		if !eng.serves() || eng.target.Service != kd.service {
 			continue
 		}
 
-		if res := s.held[w.model]; res != nil && res.adapters[w.adapter] != nil {
+		if resident := eng.models[kd.model]; resident != nil && resident.adapters[kd.adapter] != nil {
 			return true
 		}
 	}
@@ -356,17 +363,17 @@
 	return false
 }
 
-func (s *station) takesAdapter(model string, now time.Time) bool {
-	res := s.held[model]
+func (eng *trackedEngine) acceptsAdapter(model string, now time.Time) bool {
+	resident := eng.models[model]
 
-	return res != nil && s.known && !s.working && s.serves() && !now.Before(s.loading) && !now.Before(res.ready)
+	return resident != nil && eng.synced && !eng.inFlight && eng.serves() && !now.Before(eng.loadEnds) && !now.Before(resident.ready)
 }
 
-func (s *station) site(id instance.ID, running int, uses map[string]int) swap.Site {
+func (eng *trackedEngine) site(id instance.ID, running int, uses map[string]int) swap.Site {
 	site := swap.Site{ID: id, Running: running}
 
-	for model, res := range s.held {
-		for name, a := range res.adapters {
+	for model, resident := range eng.models {
+		for name, a := range resident.adapters {
 			full := model + "/" + name
 			site.Adapters = append(site.Adapters, swap.AdapterOn{Name: full, Running: uses[full], Used: a.used})
 		}
@@ -375,16 +382,16 @@
 	return site
 }
 
-// begin runs work that sends orders to a station, one at a time. The caller
-// holds the lock.
-func (h *Holder) begin(s *station, work func()) {
-	s.working = true
+// startWork runs work that sends orders to an engine, in a goroutine; an
+// engine has at most one at a time. The caller holds the lock.
+func (h *Holder) startWork(eng *trackedEngine, work func()) {
+	eng.inFlight = true
 
 	h.orders.Go(func() {
 		work()
 
 		h.mu.Lock()
-		s.working = false
+		eng.inFlight = false
 		h.mu.Unlock()
 		h.Wake()
 	})
--- a/internal/placement/holder/delta.go
+++ b/internal/placement/holder/delta.go
@@ -9,7 +9,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// Edition names news in short. The zero value names none.
+// Edition identifies a snapshot. The zero value identifies none.
 type Edition struct {
 	Token uint64
 	// Process is a hash of the holder's process.
@@ -17,73 +17,77 @@
 	Number  uint64
 }
 
-// Edition returns the news' name.
-func (n News) Edition() Edition {
-	if n.Process == "" {
+// Edition returns the version of the snapshot.
+func (s News) Edition() Edition {
+	if s.Process == "" {
 		return Edition{}
 	}
 
-	return Edition{Token: n.Token, Process: xxhash.Sum64String(n.Process), Number: n.Number}
+	return Edition{Token: s.Token, Process: xxhash.Sum64String(s.Process), Number: s.Number}
 }
 
-// Delta is what changed between two news.
+// Delta is the difference between two snapshots.
 type Delta struct {
-	// News is the newer one; of its stations only those that changed in more
-	// than their counts are there.
+	// News is the newer snapshot. It contains only those engines of which more
+	// than the counts has changed.
 	News
-	// Base is the news that it builds on; the zero value means that it is whole.
+	// Base is the version of the older snapshot. The zero value means that the
+	// delta is a complete snapshot.
 	Base Edition
-	// Counts are the stations of which only the counts changed.
+	// Counts are for the engines of which only the counts have changed.
 	Counts []Count
-	// Gone are the targets that the newer one no longer has.
+	// Gone are the targets that the newer snapshot does not contain.
 	Gone []instance.ID
 }
 
-// Count is how many requests run on and wait for one target.
+// Count is the load of one target: its running requests and the entries with
+// queued ones.
 type Count struct {
 	Target         instance.ID
 	Running, Lines int
 }
 
 const (
-	// runningStep is by how many running requests a station must differ to be
-	// sent again for that alone. The count moves with every request, and a choice
-	// of targets is the same for two more or less.
+	// runningStep is the difference in running requests from which an engine
+	// is sent again for that alone. The count changes with every request, and
+	// the choice of a target does not depend on two more or less.
 	runningStep = 3
-	// readyStep is the same for the time at which a load ends: two entries know
-	// it by messages that took some time.
+	// readyStep is the same for the time at which a load ends, which two
+	// entries derive from messages with different delays.
 	readyStep = 30 * time.Millisecond
 )
 
-// counts reports whether an entry that knows s need not be told of the counts
-// of o: the running requests are less than so many apart.
-func (s *Station) counts(o *Station, apart int) bool {
-	grown := o.Running - s.Running
+// sameCounts reports whether an entry that has s need not receive the counts
+// of o, because as many entries wait and the running requests differ by less
+// than minDiff.
+func (s *Station) sameCounts(o *Station, minDiff int) bool {
+	diff := o.Running - s.Running
 
-	return s.Lines == o.Lines && max(grown, -grown) < apart
+	return s.Lines == o.Lines && max(diff, -diff) < minDiff
 }
 
-// holds reports whether an entry that knows s need not be told of what o holds.
-func (s *Station) holds(o *Station, now time.Time) bool {
+// sameModels reports whether an entry that has s need not receive the models
+// of o.
+func (s *Station) sameModels(o *Station, now time.Time) bool {
 	return s.Born == o.Born && s.Sequence == o.Sequence &&
-		(same(s.Held, o.Held) || slices.EqualFunc(s.Held, o.Held, func(a, b Held) bool { return a.like(b, now) }))
+		(sameList(s.Held, o.Held) || slices.EqualFunc(s.Held, o.Held, func(a, b Held) bool { return a.similar(b, now) }))
 }
 
-// same reports whether two lists are one in memory, as they are of all stations
-// of which nothing was heard.
-func same(a, b []Held) bool {
+// sameList reports whether two lists share their memory, as they do when the
+// engine has not changed between two snapshots.
+func sameList(a, b []Held) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-func (h Held) like(o Held, now time.Time) bool {
-	return h.Model == o.Model && readyLike(h.Ready, o.Ready, now) && slices.EqualFunc(h.Adapters, o.Adapters, func(a, b Adapter) bool {
-		return a.Name == b.Name && readyLike(a.Ready, b.Ready, now)
+func (h Held) similar(o Held, now time.Time) bool {
+	return h.Model == o.Model && similarReady(h.Ready, o.Ready, now) && slices.EqualFunc(h.Adapters, o.Adapters, func(a, b Adapter) bool {
+		return a.Name == b.Name && similarReady(a.Ready, b.Ready, now)
 	})
 }
 
-// readyLike reports whether two ends of a load are the same to an entry that
-// hears of them at now: what is ready is ready.
-func readyLike(a, b, now time.Time) bool {
+// similarReady reports whether two ready times are equivalent for an entry
+// that receives them at now. All times in the past are equivalent.
+func similarReady(a, b, now time.Time) bool {
 	if !a.After(now) || !b.After(now) {
 		return a.After(now) == b.After(now)
 	}
--- a/internal/placement/holder/delta_test.go
+++ b/internal/placement/holder/delta_test.go
@@ -13,9 +13,9 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// drawNews draws news of a small site, so that stations often stay as they
-// were.
-func drawNews(t *rapid.T, token, number uint64) News {
+// drawSnapshot draws a snapshot of a small site, so that engines often stay
+// unchanged.
+func drawSnapshot(t *rapid.T, token, number uint64) News {
 	n := News{Holder: "h", Process: fmt.Sprint("p", token), Token: token, Number: number}
 
 	for i := range 4 {
@@ -37,23 +37,24 @@
 	return n
 }
 
-func stations(n News) []Station {
-	out := slices.Clone(n.Stations)
+func sortedEngines(s News) []Station {
+	out := slices.Clone(s.Stations)
 	slices.SortFunc(out, func(a, b Station) int { return cmp.Compare(a.Target, b.Target) })
 
 	return out
 }
 
-// An entry held a mixture of news after lost deltas, lost answers or a change
-// of the holder: what it has must be what was published, but for the count of
-// running requests.
-func TestDeltas(t *testing.T) {
+// TestDeltasAfterLosses guards against a mixture of snapshots at an entry
+// after lost deltas, lost answers or a change of the holder. An entry must
+// have what was published, except for small differences in running requests.
+func TestDeltasAfterLosses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const entries = 3
 
 		var (
 			histories [entries]History
-			// has is what the holder knows of the others.
+			// has are the versions that the holder has recorded for the
+			// others.
 			has    [entries]Edition
 			holder int
 		)
@@ -73,7 +74,7 @@
 				}
 			}
 
-			latest := drawNews(t, token, number)
+			latest := drawSnapshot(t, token, number)
 			histories[holder].Tell(latest, now)
 
 			for other := range entries {
@@ -81,22 +82,22 @@
 					continue
 				}
 
-				told, answers := tell(t, &histories[holder], &histories[other], &has[other], now)
-				if !told || !answers {
+				delivered, answered := deliver(t, &histories[holder], &histories[other], &has[other], now)
+				if !delivered || !answered {
 					continue
 				}
 
 				if histories[other].News().Number != latest.Number {
-					tell(t, &histories[holder], &histories[other], &has[other], now)
+					deliver(t, &histories[holder], &histories[other], &has[other], now)
 				}
 
 				if has[other] == latest.Edition() {
-					sameNews(t, histories[other].News(), latest)
+					assertSameState(t, histories[other].News(), latest)
 				}
 			}
 		}
 
-		// Once nothing is lost, two tellings bring everybody up to date.
+		// Once nothing is lost, two deliveries bring every entry up to date.
 		for other := range entries {
 			if other == holder {
 				continue
@@ -108,17 +109,17 @@
 					histories[other].Hear(got, now)
 				}
 
-				has[other] = histories[other].news.Edition()
+				has[other] = histories[other].snapshot.Edition()
 			}
 
-			sameNews(t, histories[other].News(), histories[holder].News())
+			assertSameState(t, histories[other].News(), histories[holder].News())
 		}
 	})
 }
 
-// tell plays one telling, which may be lost, or its answer. It reports whether
-// they were not.
-func tell(t *rapid.T, from, to *History, has *Edition, now time.Time) (told, answered bool) {
+// deliver sends a delta. The delta or its answer may be lost. It reports
+// whether each of them arrived.
+func deliver(t *rapid.T, from, to *History, has *Edition, now time.Time) (delivered, answered bool) {
 	fate := rapid.IntRange(0, 4).Draw(t, "fate")
 	if fate == 0 {
 		return false, false
@@ -132,28 +133,28 @@
 		return true, false
 	}
 
-	*has = to.news.Edition()
+	*has = to.snapshot.Edition()
 
 	return true, true
 }
 
-func sameNews(t *rapid.T, have, latest News) {
+func assertSameState(t *rapid.T, have, latest News) {
 	assert.Equal(t, have.Number, latest.Number)
 
-	want, now := stations(latest), stations(have)
+	want, now := sortedEngines(latest), sortedEngines(have)
 	assert.Equal(t, len(now), len(want))
 
 	for i := range want {
-		apart := now[i].Running - want[i].Running
-		assert.Assert(t, max(apart, -apart) < runningStep)
+		diff := now[i].Running - want[i].Running
+		assert.Assert(t, max(diff, -diff) < runningStep)
 
 		now[i].Running = want[i].Running
 		assert.DeepEqual(t, now[i], want[i])
 	}
 }
 
-// news60 returns news of 60 targets of one holder.
-func news60(token, number uint64) News {
+// snapshotOf60 returns a snapshot of 60 targets of one holder.
+func snapshotOf60(token, number uint64) News {
 	out := News{Process: fmt.Sprint("p", token), Token: token, Number: number}
 	for i := range 60 {
 		out.Stations = append(out.Stations, Station{Target: instance.ID(fmt.Sprint(i)), Running: 7})
@@ -162,14 +163,15 @@
 	return out
 }
 
-// One load among 60 targets was told to every entry as 60 stations.
+// TestDeltaIsSmall guards against a load on one of 60 targets that is sent to
+// every entry as 60 engine states.
 func TestDeltaIsSmall(t *testing.T) {
 	var h History
 
-	old := news60(1, 1)
+	old := snapshotOf60(1, 1)
 	h.Tell(old, time.Unix(0, 0))
 
-	next := news60(1, 2)
+	next := snapshotOf60(1, 2)
 	next.Stations[3].Held = []Held{{Model: "m"}}
 	next.Stations[4].Running = 8
 	next.Stations[5].Running = 7 + runningStep
@@ -182,15 +184,16 @@
 	assert.DeepEqual(t, d.Counts, []Count{{Target: "5", Running: 7 + runningStep}})
 }
 
-// Counts that crept away in small steps were never told.
-func TestCountsCreep(t *testing.T) {
+// TestCountsDrift guards against counts that drift away in small steps and are
+// never sent.
+func TestCountsDrift(t *testing.T) {
 	var h History
 
-	first := news60(1, 1)
+	first := snapshotOf60(1, 1)
 	h.Tell(first, time.Unix(0, 0))
 
 	for i := range uint64(runningStep) {
-		next := news60(1, 2+i)
+		next := snapshotOf60(1, 2+i)
 		next.Stations[0].Running = 8 + int(i)
 		h.Tell(next, time.Unix(0, 0))
 	}
@@ -198,37 +201,40 @@
 	assert.DeepEqual(t, h.Since(first.Edition()).Counts, []Count{{Target: "0", Running: 7 + runningStep}})
 }
 
-// A new holder told all entries the whole news, which took its link for as long
-// as their number took.
-func TestNewHolderGoesOn(t *testing.T) {
-	var taker, other, started History
+// TestNewHolderSendsDelta guards against a new holder that sends the full
+// snapshot to all entries, which occupies its network link for a time
+// proportional to their number.
+func TestNewHolderSendsDelta(t *testing.T) {
+	var successor, other, started History
 
 	now := time.Unix(0, 0)
-	taker.Hear(news60(1, 8), now)
-	other.Hear(news60(1, 8), now)
+	successor.Hear(snapshotOf60(1, 8), now)
+	other.Hear(snapshotOf60(1, 8), now)
 
-	own := news60(2, 1)
+	own := snapshotOf60(2, 1)
 	own.Stations[3].Held = []Held{{Model: "m"}}
-	taker.Tell(own, now)
+	successor.Tell(own, now)
 
-	d := taker.Since(taker.Former())
-	assert.Equal(t, d.Base, news60(1, 8).Edition())
+	d := successor.Since(successor.Former())
+	assert.Equal(t, d.Base, snapshotOf60(1, 8).Edition())
 	assert.Equal(t, len(d.Stations), 1)
 
 	got, ok := other.Merge(d)
 	assert.Assert(t, ok)
 	assert.Equal(t, len(got.Stations), 60)
 
-	// A process that has just started says so, and gets the whole.
+	// A process that has just started returns the zero version and gets the
+	// full snapshot.
 	_, ok = started.Merge(d)
 	assert.Assert(t, !ok)
 
-	d = taker.Since(started.news.Edition())
+	d = successor.Since(started.snapshot.Edition())
 	assert.Equal(t, d.Base, Edition{})
 	assert.Equal(t, len(d.Stations), 60)
 }
 
-// BenchmarkHear is taking in that two of 3,000 targets changed.
+// BenchmarkHear measures receiving a delta with changes to two of 3,000
+// targets.
 func BenchmarkHear(b *testing.B) {
 	const targets = 3000
 
--- a/internal/placement/holder/down_test.go
+++ b/internal/placement/holder/down_test.go
@@ -14,130 +14,133 @@
 	"github.com/fulmarcross/fulmarcross/internal/standin/worker"
 )
 
-// says tells the holder that an entry does not reach a target.
-func (w *world) says(entry, target instance.ID) {
-	w.t.Helper()
+// reportUnreachable reports to the holder that an entry does not reach a
+// target.
+func (cl *cluster) reportUnreachable(entry, target instance.ID) {
+	cl.t.Helper()
 
-	m := w.holders[w.holding()]
-	assert.NilError(w.t, m.Report(demand.Report{Entry: entry, Process: string(entry)}, []holder.Missing{{Target: target}}))
+	m := cl.holders[cl.leaseHolder()]
+	assert.NilError(cl.t, m.Report(demand.Report{Entry: entry, Process: string(entry)}, []holder.Missing{{Target: target}}))
 }
 
-// copies returns on how many targets the news have a model.
-func (w *world) copies(model string) int {
-	copies := 0
+// replicas returns the number of targets that hold a model in the latest
+// snapshot.
+func (cl *cluster) replicas(model string) int {
+	replicas := 0
 
-	for _, s := range w.heard().Stations {
+	for _, s := range cl.latest().Stations {
 		for _, h := range s.Held {
 			if h.Model == model {
-				copies++
+				replicas++
 			}
 		}
 	}
 
-	return copies
+	return replicas
 }
 
-// named reports whether the news name a target.
-func (w *world) named(target instance.ID) bool {
-	return slices.ContainsFunc(w.heard().Stations, func(s holder.Station) bool { return s.Target == target })
+// inSnapshot reports whether the latest snapshot contains a target.
+func (cl *cluster) inSnapshot(target instance.ID) bool {
+	return slices.ContainsFunc(cl.latest().Stations, func(s holder.Station) bool { return s.Target == target })
 }
 
-// TestTargetDown guards against models of a crashed target that are loaded
-// elsewhere only when its entry has lapsed, and against entries that send to it
-// until then.
+// TestTargetDown guards against a crashed target whose models are loaded
+// elsewhere only after it has expired from the target list, and to which
+// entries send requests until then.
 func TestTargetDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3)
+		cl := newCluster(t, 3)
 
 		time.Sleep(5 * time.Second)
 
-		assert.Equal(t, w.copies("m0"), 1)
+		assert.Equal(t, cl.replicas("m0"), 1)
 
-		w.setDark("w0")
-		w.says("e1", "w0")
+		cl.setUnresponsive("w0")
+		cl.reportUnreachable("e1", "w0")
 		time.Sleep(1200 * time.Millisecond)
 
-		assert.Equal(t, w.copies("m0"), 0, "entries still send to it")
-		assert.Assert(t, w.named("w0"), "entries go by the list")
+		assert.Equal(t, cl.replicas("m0"), 0, "entries still send requests to it")
+		assert.Assert(t, cl.inSnapshot("w0"), "entries would use the target list")
 
 		for range 6 {
-			w.ask("m0")
+			cl.ask("m0")
 			time.Sleep(300 * time.Millisecond)
 		}
 
-		assert.Equal(t, w.copies("m0"), 1, "it is loaded nowhere else")
+		assert.Equal(t, cl.replicas("m0"), 1, "not loaded on another target")
 
-		w.setDark("")
+		cl.setUnresponsive("")
 		time.Sleep(1500 * time.Millisecond)
 
-		assert.Equal(t, w.copies("m1"), 1, "it is back")
-		w.finish()
+		assert.Equal(t, cl.replicas("m1"), 1, "models of the target that is back")
+		cl.finish()
 	})
 }
 
-// TestOneWordIsNotEnough guards against a target that is given up because one
-// entry, or the holder itself, does not reach it.
-func TestOneWordIsNotEnough(t *testing.T) {
-	for name, play := range map[string]func(w *world){
-		"one entry": func(w *world) { w.says("e1", "w0") },
-		"the holder and its own entry": func(w *world) {
-			w.setDark("w0")
-			w.says(w.holding(), "w0")
+// TestSuspicionNeedsConfirmation guards against a target that is marked as
+// down because one entry, or the holder itself, does not reach it.
+func TestSuspicionNeedsConfirmation(t *testing.T) {
+	for name, play := range map[string]func(cl *cluster){
+		"one entry": func(cl *cluster) { cl.reportUnreachable("e1", "w0") },
+		"the holder and its own entry": func(cl *cluster) {
+			cl.setUnresponsive("w0")
+			cl.reportUnreachable(cl.leaseHolder(), "w0")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, 3)
+				cl := newCluster(t, 3)
 
 				time.Sleep(5 * time.Second)
-				play(w)
+				play(cl)
 				time.Sleep(2 * time.Second)
 
-				assert.Equal(t, w.copies("m0"), 1)
-				w.finish()
+				assert.Equal(t, cl.replicas("m0"), 1)
+				cl.finish()
 			})
 		})
 	}
 }
 
-// process returns which process a worker says it is.
-func (w *world) process(id instance.ID) int64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// process returns the process that a worker reports.
+func (cl *cluster) process(id instance.ID) int64 {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 
-	if p, ok := w.processes[id]; ok {
+	if p, ok := cl.processes[id]; ok {
 		return p
 	}
 
-	return w.born
+	return cl.born
 }
 
-// TestRestartedBeforeTheList guards against entries that send to what a target
-// held before it started again, until the list shows its new process.
+// TestRestartedBeforeTheList guards against entries that send requests for
+// models that a target held before its restart, until the target list shows
+// the new process.
 func TestRestartedBeforeTheList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1)
+		cl := newCluster(t, 1)
 
 		time.Sleep(5 * time.Second)
 
-		// Each target has carried out orders, so that its new process's count is
-		// lower.
+		// Each target carries out orders, so that the sequence of its new
+		// process is lower.
 		for _, model := range []string{"m6", "m7", "m6", "m7"} {
-			w.ask(model)
+			cl.ask(model)
 			time.Sleep(3 * time.Second)
 		}
 
-		w.mu.Lock()
-		w.workers["w0"] = &worker.Worker{Engine: engine(), OnDisk: []string{"m0", "m1"}}
-		w.processes = map[instance.ID]int64{"w0": 2}
-		w.mu.Unlock()
+		cl.mu.Lock()
+		cl.workers["w0"] = &worker.Worker{Engine: engine(), OnDisk: []string{"m0", "m1"}}
+		cl.processes = map[instance.ID]int64{"w0": 2}
+		cl.mu.Unlock()
 
-		m := w.holders[w.holding()]
+		m := cl.holders[cl.leaseHolder()]
 		assert.NilError(t, m.Report(demand.Report{Entry: "e1"}, []holder.Missing{{Target: "w0", Key: "s/m0"}}))
 		time.Sleep(500 * time.Millisecond)
-		assert.Equal(t, w.copies("m0"), 0, "entries still send to it")
+		assert.Equal(t, cl.replicas("m0"), 0, "entries still send requests to it")
 
-		assert.Assert(t, w.served("m0", 4*time.Second), "its disk is not used")
-		w.finish()
+		assert.Assert(t, cl.awaitServed("m0", 4*time.Second), "not loaded from its disk")
+		cl.finish()
 	})
 }
--- a/internal/placement/holder/feed.go
+++ b/internal/placement/holder/feed.go
@@ -8,141 +8,151 @@
 )
 
 const (
-	// firstWidth is how many loads the weight store is taken to carry at full
-	// speed until its loads tell, and widthStep by how many more are tried.
-	firstWidth = 4
-	widthStep  = 2
-	// slowLoad is how many times as long as said a load takes when the store
-	// carries too many, and overdueLoad the same for one that has not ended.
-	slowLoad    = 1.3
-	overdueLoad = 1.6
-	// rowAge is how much later than a load ends the list shows it.
-	rowAge = 800 * time.Millisecond
-	// blindAfter is after how long without a row of the list nothing is learnt
-	// from the loads in flight, whose ends may have been missed.
-	blindAfter = 2500 * time.Millisecond
-	// triedFor is for how long a width that was too large is not tried again.
-	triedFor = time.Minute
+	// initialCapacity is the number of concurrent loads that the weight store
+	// is assumed to serve at full speed until the duration of loads shows
+	// otherwise. capacityStep is the number of additional loads that are
+	// tried.
+	initialCapacity = 4
+	capacityStep    = 2
+	// slowFactor is the ratio of a finished load's duration to its configured
+	// one from which the store counts as overloaded, and overdueFactor the
+	// same for a load that has not ended.
+	slowFactor    = 1.3
+	overdueFactor = 1.6
+	// listDelay is the time between the end of a load and the row of the
+	// target list that shows it.
+	listDelay = 800 * time.Millisecond
+	// maxListGap is the time without a row of the target list after which the
+	// loads in flight say nothing about the capacity, because their ends may
+	// have been missed.
+	maxListGap = 2500 * time.Millisecond
+	// probePause is the time for which a capacity that was too large is not
+	// tried again.
+	probePause = time.Minute
 )
 
-// feed learns how many loads the weight store carries at full speed, which
-// nobody says, from how long they take. The zero value has seen none.
+// storeCapacity estimates from the duration of loads how many concurrent loads
+// the weight store serves at full speed, which is configured nowhere. The zero
+// value has observed none.
 //
-// It guards against loads that are foretold as if alone while the store shares
-// its speed among more than it carries, and against targets that wait for a store
-// that could carry more.
-type feed struct {
-	// width is how many loads the store is taken to carry; zero means firstWidth.
-	width float64
-	// tried is until when no larger width is tried.
-	tried time.Time
-	// sum is the loads in flight times the seconds that they were, up to at.
-	sum   float64
-	at    time.Time
-	heard time.Time
-	loads map[instance.ID]feedLoad
+// An estimate that is too high makes predictions too early, since the store
+// shares its bandwidth among more loads than it can serve at full speed. One
+// that is too low keeps targets waiting for a store that is not fully used.
+type storeCapacity struct {
+	// estimate is the number of loads at full speed; zero means
+	// initialCapacity.
+	estimate float64
+	// noProbeUntil is the time until which no larger estimate is tried.
+	noProbeUntil time.Time
+	// loadSeconds is the integral of the number of loads in flight over time,
+	// up to at.
+	loadSeconds float64
+	at          time.Time
+	lastRow     time.Time
+	loads       map[instance.ID]storeLoad
 }
 
-// feedLoad is a load from the weight store that was accepted.
-type feedLoad struct {
-	model    string
-	began    time.Time
-	expected time.Duration
-	sum      float64
-	blind    bool
+// storeLoad is a load from the weight store that an engine has accepted.
+type storeLoad struct {
+	model       string
+	began       time.Time
+	expected    time.Duration
+	loadSeconds float64
+	unobserved  bool
 }
 
-// carries returns how many loads the store carries at full speed.
-func (f *feed) carries() float64 {
-	if f.width == 0 {
-		return firstWidth
+// fullSpeed returns the number of concurrent loads that the store serves at
+// full speed.
+func (c *storeCapacity) fullSpeed() float64 {
+	if c.estimate == 0 {
+		return initialCapacity
 	}
 
-	return f.width
+	return c.estimate
 }
 
-// slower returns how many times as long as said a load takes that begins beside
-// so many others.
-func (f *feed) slower(others int) float64 {
-	return max(1, float64(others+1)/f.carries())
+// slowdown returns the factor by which a load takes longer than alone when it
+// starts beside the given number of others.
+func (c *storeCapacity) slowdown(others int) float64 {
+	return max(1, float64(others+1)/c.fullSpeed())
 }
 
-func (f *feed) count(now time.Time) {
-	f.sum += float64(len(f.loads)) * now.Sub(f.at).Seconds()
-	f.at = now
+func (c *storeCapacity) advance(now time.Time) {
+	c.loadSeconds += float64(len(c.loads)) * now.Sub(c.at).Seconds()
+	c.at = now
 }
 
-// begin notes a load that was accepted.
-func (f *feed) begin(id instance.ID, model string, expected time.Duration, now time.Time) {
-	f.count(now)
+// start records a load that an engine has accepted.
+func (c *storeCapacity) start(id instance.ID, model string, expected time.Duration, now time.Time) {
+	c.advance(now)
 
-	if f.loads == nil {
-		f.loads = make(map[instance.ID]feedLoad)
+	if c.loads == nil {
+		c.loads = make(map[instance.ID]storeLoad)
 	}
 
-	f.loads[id] = feedLoad{model: model, began: now, expected: max(expected, time.Second), sum: f.sum}
+	c.loads[id] = storeLoad{model: model, began: now, expected: max(expected, time.Second), loadSeconds: c.loadSeconds}
 }
 
-// see takes in a new row of the list.
-func (f *feed) see(t inventory.Target, now time.Time) {
-	if now.Sub(f.heard) > blindAfter {
-		for id, l := range f.loads {
-			l.blind = true
-			f.loads[id] = l
+// observe applies a new row of the target list.
+func (c *storeCapacity) observe(t inventory.Target, now time.Time) {
+	if now.Sub(c.lastRow) > maxListGap {
+		for id, l := range c.loads {
+			l.unobserved = true
+			c.loads[id] = l
 		}
 	}
 
-	f.heard = now
-	f.count(now)
+	c.lastRow = now
+	c.advance(now)
 
-	l, loads := f.loads[t.ID]
+	l, loads := c.loads[t.ID]
 	if !loads {
 		return
 	}
 
 	for _, held := range t.Held {
 		if held.Model == l.model {
-			f.learn(l, now.Add(-rowAge), slowLoad)
-			f.drop(t.ID, now)
+			c.adjust(l, now.Add(-listDelay), slowFactor)
+			c.remove(t.ID, now)
 
 			return
 		}
 	}
 }
 
-// drop forgets a load that has ended, or whose target is gone.
-func (f *feed) drop(id instance.ID, now time.Time) {
-	f.count(now)
-	delete(f.loads, id)
+// remove deletes a load that has ended, or whose target is gone.
+func (c *storeCapacity) remove(id instance.ID, now time.Time) {
+	c.advance(now)
+	delete(c.loads, id)
 }
 
-// overdue learns from loads that should have ended.
-func (f *feed) overdue(now time.Time) {
-	f.count(now)
+// checkOverdue lowers the estimate for loads that should have ended.
+func (c *storeCapacity) checkOverdue(now time.Time) {
+	c.advance(now)
 
-	for _, l := range f.loads {
-		if now.Sub(l.began) > time.Duration(overdueLoad*float64(l.expected)) {
-			f.learn(l, now, overdueLoad)
+	for _, l := range c.loads {
+		if now.Sub(l.began) > time.Duration(overdueFactor*float64(l.expected)) {
+			c.adjust(l, now, overdueFactor)
 		}
 	}
 }
 
-// learn judges the width by a load that lasted until the time given, or lasts
-// yet. The loads in flight must be counted up to now.
-func (f *feed) learn(l feedLoad, until time.Time, slow float64) {
+// adjust updates the estimate by a load that ended at the given time, or that
+// is still in flight then. loadSeconds must be up to date.
+func (c *storeCapacity) adjust(l storeLoad, until time.Time, factor float64) {
 	took := until.Sub(l.began)
-	if l.blind || took <= 0 {
+	if l.unobserved || took <= 0 {
 		return
 	}
 
-	beside := (f.sum - l.sum) / f.at.Sub(l.began).Seconds()
-	longer := took.Seconds() / l.expected.Seconds()
+	others := (c.loadSeconds - l.loadSeconds) / c.at.Sub(l.began).Seconds()
+	ratio := took.Seconds() / l.expected.Seconds()
 
 	switch {
-	case longer >= slow:
-		f.width = max(1, min(f.carries(), beside/longer))
-		f.tried = until.Add(triedFor)
-	case slow == slowLoad && beside+1 > f.carries() && until.After(f.tried):
-		f.width = f.carries() + widthStep
+	case ratio >= factor:
+		c.estimate = max(1, min(c.fullSpeed(), others/ratio))
+		c.noProbeUntil = until.Add(probePause)
+	case factor == slowFactor && others+1 > c.fullSpeed() && until.After(c.noProbeUntil):
+		c.estimate = c.fullSpeed() + capacityStep
 	}
 }
--- a/internal/placement/holder/foretell.go
+++ b/internal/placement/holder/foretell.go
@@ -6,50 +6,50 @@
 	"time"
 )
 
-// foretellStep is by how much the time must move from which a model can be
-// had for entries to be told again.
-const foretellStep = 300 * time.Millisecond
+// predictionStep is the change in a predicted time from which a new snapshot
+// is published.
+const predictionStep = 300 * time.Millisecond
 
-// foretell notes from when on models of a service can be had that the weight
-// store cannot load yet, so that entries refuse at once who cannot wait for
-// them, and say when to come back.
-func (h *Holder) foretell(service string, ready map[string]time.Duration, now time.Time) {
-	var waits []Wait
+// predict records when models of a service become ready that the weight store
+// cannot load yet. Entries refuse at once the requests that cannot wait so
+// long, and return that time for a retry.
+func (h *Holder) predict(service string, ready map[string]time.Duration, now time.Time) {
+	var predictions []Wait
 
-	for _, w := range h.waits {
+	for _, w := range h.predictions {
 		if name, _, _ := splitKey(w.Key); name != service {
-			waits = append(waits, w)
+			predictions = append(predictions, w)
 		}
 	}
 
-	promised := h.promised(service)
+	firstPublished := h.predictedSince(service)
 
-	for model, in := range ready {
-		w := Wait{Key: service + "/" + model, Ready: now.Add(in), Since: now}
-		if since, ok := promised[model]; ok {
+	for model, delay := range ready {
+		w := Wait{Key: service + "/" + model, Ready: now.Add(delay), Since: now}
+		if since, ok := firstPublished[model]; ok {
 			w.Since = since
 		}
 
-		waits = append(waits, w)
+		predictions = append(predictions, w)
 	}
 
-	slices.SortFunc(waits, func(a, b Wait) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(predictions, func(a, b Wait) int { return strings.Compare(a.Key, b.Key) })
 
-	if !slices.EqualFunc(waits, h.waits, func(a, b Wait) bool {
-		apart := a.Ready.Sub(b.Ready)
+	if !slices.EqualFunc(predictions, h.predictions, func(a, b Wait) bool {
+		diff := a.Ready.Sub(b.Ready)
 
-		return a.Key == b.Key && max(apart, -apart) < foretellStep
+		return a.Key == b.Key && max(diff, -diff) < predictionStep
 	}) {
-		h.waits, h.published = waits, false
+		h.predictions, h.published = predictions, false
 	}
 }
 
-// promised returns since when entries tell their callers from when on models of
-// a service can be had.
-func (h *Holder) promised(service string) map[string]time.Time {
-	out := make(map[string]time.Time, len(h.waits))
+// predictedSince returns when the holder first published the current
+// prediction for each model of a service.
+func (h *Holder) predictedSince(service string) map[string]time.Time {
+	out := make(map[string]time.Time, len(h.predictions))
 
-	for _, w := range h.waits {
+	for _, w := range h.predictions {
 		if name, model, _ := splitKey(w.Key); name == service {
 			out[model] = w.Since
 		}
--- a/internal/placement/holder/history.go
+++ b/internal/placement/holder/history.go
@@ -7,105 +7,107 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// editionsKept bounds the news that others may have and still be told only what
-// changed since: some seconds of a busy holder.
-const editionsKept = 128
+// versionsKept is the number of snapshots for which deltas are available. It
+// covers some seconds of a busy holder.
+const versionsKept = 128
 
-// History is the newest news that an entry heard or tells, and when what in them
-// changed, so that others are told only what is new to them.
+// History keeps the newest snapshot that an entry received or published and
+// when its parts changed, so that other entries receive only what is new to
+// them.
 //
-// It answers the load of many entries and targets: a holder tells hundreds of
-// entries several times a second of changes to a few stations among thousands.
-// An entry that takes the lease goes on with what it heard, so that the others
-// need not be told the whole again.
+// A holder publishes changes to a few engines among thousands, several times a
+// second, to hundreds of entries. An entry that acquires the lease continues
+// from the snapshot that it received, so that the other entries need no full
+// snapshot.
 //
-// The zero value knows none. It is not safe for concurrent use.
+// The zero value is empty. It is not safe for concurrent use.
 type History struct {
-	news News
-	// at finds stations of the news by their target.
-	at map[instance.ID]int
-	// step counts the news taken in.
+	snapshot News
+	// index maps targets to the positions of their engines in the snapshot.
+	index map[instance.ID]int
+	// step counts the snapshots recorded.
 	step uint64
-	// steps are when the stations of the news changed, in their order, and gone
-	// when targets went.
-	steps []stationSteps
-	gone  map[instance.ID]uint64
-	// editions are the last news, with their steps, the newest last.
-	editions []editionStep
-	// deltas are those to the newest news that were asked for, by the step of
-	// their base.
+	// steps are the steps at which the engines of the snapshot changed, in the
+	// same order, and removed those at which targets disappeared.
+	steps   []engineSteps
+	removed map[instance.ID]uint64
+	// versions are those of the last snapshots with their steps, the newest
+	// last.
+	versions []versionStep
+	// deltas caches the deltas to the newest snapshot, by the step of their
+	// base.
 	deltas map[uint64]Delta
 }
 
-// stationSteps are the steps at which a station, or its counts alone, changed
-// last.
-type stationSteps struct{ changed, counted uint64 }
+// engineSteps are the steps at which an engine, or its counts alone, last
+// changed.
+type engineSteps struct{ changed, counted uint64 }
 
-type editionStep struct {
+type versionStep struct {
 	Edition
 
 	step uint64
 }
 
-// News returns the newest news. Their stations must not be changed.
-func (h *History) News() News { return h.news }
+// News returns the newest snapshot. Its engines must not be modified.
+func (h *History) News() News { return h.snapshot }
 
-// Tell takes in news that this entry tells. Counts that hardly differ stay as
-// they were told.
-func (h *History) Tell(latest News, now time.Time) { h.take(latest, now, runningStep) }
+// Tell records a snapshot that this entry publishes. Counts that hardly differ
+// keep their last published values.
+func (h *History) Tell(latest News, now time.Time) { h.update(latest, now, runningStep) }
 
-// Hear takes in news that this entry has heard.
-func (h *History) Hear(latest News, now time.Time) { h.take(latest, now, 1) }
+// Hear records a snapshot that this entry has received.
+func (h *History) Hear(latest News, now time.Time) { h.update(latest, now, 1) }
 
-func (h *History) take(latest News, now time.Time, apart int) {
+func (h *History) update(latest News, now time.Time, minDiff int) {
 	h.step++
 
-	if h.gone == nil {
-		h.gone = make(map[instance.ID]uint64)
+	if h.removed == nil {
+		h.removed = make(map[instance.ID]uint64)
 	}
 
-	if !sameTargets(h.news.Stations, latest.Stations) {
-		h.arrange(latest.Stations)
+	if !sameTargets(h.snapshot.Stations, latest.Stations) {
+		h.reorder(latest.Stations)
 	}
 
 	stations := make([]Station, len(latest.Stations))
 
 	for i := range latest.Stations {
-		stations[i] = h.note(i, &latest.Stations[i], now, apart)
+		stations[i] = h.updateEngine(i, &latest.Stations[i], now, minDiff)
 	}
 
-	h.news, h.deltas = latest, nil
-	h.news.Stations = stations
-	h.keep(latest.Edition())
+	h.snapshot, h.deltas = latest, nil
+	h.snapshot.Stations = stations
+	h.recordVersion(latest.Edition())
 }
 
-// arrange brings what is known of stations into the order of newer news.
-func (h *History) arrange(latest []Station) {
-	at := make(map[instance.ID]int, len(latest))
+// reorder brings the recorded engines into the order of a newer snapshot.
+func (h *History) reorder(latest []Station) {
+	index := make(map[instance.ID]int, len(latest))
 	stations := make([]Station, len(latest))
-	steps := make([]stationSteps, len(latest))
+	steps := make([]engineSteps, len(latest))
 
 	for i := range latest {
 		id := latest[i].Target
-		at[id] = i
+		index[id] = i
 
-		if j, known := h.at[id]; known {
-			stations[i], steps[i] = h.news.Stations[j], h.steps[j]
+		if j, known := h.index[id]; known {
+			stations[i], steps[i] = h.snapshot.Stations[j], h.steps[j]
 		} else {
-			delete(h.gone, id)
+			delete(h.removed, id)
 		}
 	}
 
-	for id := range h.at {
-		if _, stays := at[id]; !stays {
-			h.gone[id] = h.step
+	for id := range h.index {
+		if _, listed := index[id]; !listed {
+			h.removed[id] = h.step
 		}
 	}
 
-	h.at, h.news.Stations, h.steps = at, stations, steps
+	h.index, h.snapshot.Stations, h.steps = index, stations, steps
 }
 
-// sameTargets reports whether stations are of the same targets in the same
+// sameTargets reports whether two lists have the same targets in the same
 // order.
 func sameTargets(a, b []Station) bool {
 	if len(a) != len(b) {
@@ -121,17 +123,18 @@
 	return true
 }
 
-// note returns the station in some place as it is told from now on. Counts that
-// are less than so much apart stay.
-func (h *History) note(i int, s *Station, now time.Time, apart int) Station {
-	old, steps := h.news.Stations[i], &h.steps[i]
+// updateEngine returns the state to record for the engine at position i.
+// Running requests keep the recorded value if they differ by less than
+// minDiff.
+func (h *History) updateEngine(i int, s *Station, now time.Time, minDiff int) Station {
+	old, steps := h.snapshot.Stations[i], &h.steps[i]
 
 	switch {
-	case steps.changed == 0 || !old.holds(s, now):
+	case steps.changed == 0 || !old.sameModels(s, now):
 		steps.changed = h.step
 
 		return *s
-	case !old.counts(s, apart):
+	case !old.sameCounts(s, minDiff):
 		steps.counted = h.step
 		old.Running, old.Lines = s.Running, s.Lines
 	}
@@ -139,23 +142,23 @@
 	return old
 }
 
-// Merge returns the news with a delta taken in, for Hear. It reports false when
-// the delta builds on other news than these.
+// Merge returns the newest snapshot with a delta applied, to be recorded with
+// Hear. It returns false when the delta has another base.
 func (h *History) Merge(d Delta) (News, bool) {
 	out := d.News
 	if d.Base == (Edition{}) {
 		return out, true
 	}
 
-	if h.news.Edition() != d.Base {
-		return h.news, false
+	if h.snapshot.Edition() != d.Base {
+		return h.snapshot, false
 	}
 
-	// The order stays, so that hardly anything need be found anew.
-	out.Stations = slices.Clone(h.news.Stations)
+	// The order is kept, so that update rarely has to rebuild the index.
+	out.Stations = slices.Clone(h.snapshot.Stations)
 
 	for _, s := range d.Stations {
-		if i, known := h.at[s.Target]; known {
+		if i, known := h.index[s.Target]; known {
 			out.Stations[i] = s
 		} else {
 			out.Stations = append(out.Stations, s)
@@ -163,7 +166,7 @@
 	}
 
 	for _, c := range d.Counts {
-		if i, known := h.at[c.Target]; known {
+		if i, known := h.index[c.Target]; known {
 			out.Stations[i].Running, out.Stations[i].Lines = c.Running, c.Lines
 		}
 	}
@@ -180,69 +183,70 @@
 	return out, true
 }
 
-// keep notes an edition, and forgets what only older ones need.
-func (h *History) keep(e Edition) {
-	h.editions = append(h.editions, editionStep{e, h.step})
+// recordVersion records a version and removes what only older ones need.
+func (h *History) recordVersion(v Edition) {
+	h.versions = append(h.versions, versionStep{v, h.step})
 
-	if len(h.editions) <= editionsKept {
+	if len(h.versions) <= versionsKept {
 		return
 	}
 
-	h.editions = h.editions[1:]
+	h.versions = h.versions[1:]
 
-	for id, step := range h.gone {
-		if step <= h.editions[0].step {
-			delete(h.gone, id)
+	for id, step := range h.removed {
+		if step <= h.versions[0].step {
+			delete(h.removed, id)
 		}
 	}
 }
 
-// Since returns what changed since the news that another entry has.
-func (h *History) Since(has Edition) Delta {
-	for _, e := range h.editions {
-		if e.Edition == has {
-			return h.since(e)
+// Since returns the changes since the snapshot that another entry has.
+func (h *History) Since(base Edition) Delta {
+	for _, v := range h.versions {
+		if v.Edition == base {
+			return h.since(v)
 		}
 	}
 
-	return Delta{News: h.news}
+	return Delta{News: h.snapshot}
 }
 
-// Former returns the last news of the holder before, if they are known: most
-// entries have them when a holder's first are told.
+// Former returns the version of the previous holder's last snapshot, or zero
+// if there is none. Most entries have that snapshot when a new holder first
+// publishes.
 func (h *History) Former() Edition {
-	own := h.news.Edition()
+	own := h.snapshot.Edition()
 
-	for i := len(h.editions) - 1; i >= 0; i-- {
-		if e := h.editions[i]; e.Token != own.Token || e.Process != own.Process {
-			return e.Edition
+	for i := len(h.versions) - 1; i >= 0; i-- {
+		if v := h.versions[i]; v.Token != own.Token || v.Process != own.Process {
+			return v.Edition
 		}
 	}
 
 	return Edition{}
 }
 
-func (h *History) since(e editionStep) Delta {
-	if d, made := h.deltas[e.step]; made {
+func (h *History) since(v versionStep) Delta {
+	if d, cached := h.deltas[v.step]; cached {
 		return d
 	}
 
-	d := Delta{News: h.news, Base: e.Edition}
+	d := Delta{News: h.snapshot, Base: v.Edition}
 	d.Stations = nil
 
 	for i, steps := range h.steps {
-		s := &h.news.Stations[i]
+		s := &h.snapshot.Stations[i]
 
 		switch {
-		case steps.changed > e.step:
+		case steps.changed > v.step:
 			d.Stations = append(d.Stations, *s)
-		case steps.counted > e.step:
+		case steps.counted > v.step:
 			d.Counts = append(d.Counts, Count{Target: s.Target, Running: s.Running, Lines: s.Lines})
 		}
 	}
 
-	for id, step := range h.gone {
-		if step > e.step {
+	for id, step := range h.removed {
+		if step > v.step {
 			d.Gone = append(d.Gone, id)
 		}
 	}
@@ -251,7 +255,7 @@
 		h.deltas = make(map[uint64]Delta)
 	}
 
-	h.deltas[e.step] = d
+	h.deltas[v.step] = d
 
 	return d
 }
--- a/internal/placement/holder/holder.go
+++ b/internal/placement/holder/holder.go
@@ -1,7 +1,7 @@
-// Package holder runs the control of all model engines from one entry at a
-// time: the one that holds the lease takes in what all entries ask for, has
-// the package swap decide, sends the orders and tells all entries what is
-// loaded where.
+// Package holder controls all model engines from one entry at a time, the one
+// that holds the lease. The lease holder collects the demand of all entries,
+// plans loads with package swap, sends the orders to the engines and publishes
+// to all entries which models are loaded where.
 package holder
 
 import (
@@ -21,19 +21,19 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/route"
 )
 
-// cell is the number of the one cell that there is.
+// cell is the number of the only cell.
 const cell = 0
 
-// Config is what a holder works with.
+// Config configures a Holder.
 type Config struct {
 	Self    instance.ID
 	Process string
 	Table   table.Service
 	Engines Engines
 	Terms   lease.Terms
-	// TurnPause is for how long no two holders may take turns with orders.
+	// TurnPause is the minimum time between orders of two different holders.
 	TurnPause time.Duration
-	// Targets returns what is known of the targets, and Routes what is in
+	// Targets returns the known targets. Routes returns the configuration in
 	// force, or nil.
 	Targets func() map[instance.ID]inventory.Target
 	Routes  func() *route.Config
@@ -41,15 +41,17 @@
 	Strength float64
 	// Peers returns the other entries that are alive.
 	Peers func() []Candidate
-	// Rivals returns those and the ones that may be alive, among which this entry
-	// takes its turn to look at the lease. Nil means the same as Peers.
+	// Rivals returns the entries of Peers and those that may be alive. This
+	// entry's rank among them decides when it checks the lease. Nil means the
+	// same as Peers.
 	Rivals func() []Candidate
-	// Publish hands news to all entries, this one included.
+	// Publish sends a snapshot to all entries, including this one.
 	Publish func(News)
 	Log     zerolog.Logger
 }
 
-// Holder is one entry's part in the control. Create it with New.
+// Holder watches the lease on behalf of one entry, and decides placement while
+// the entry holds it. Create it with New.
 type Holder struct {
 	cfg     Config
 	started time.Time
@@ -59,78 +61,89 @@
 
 	mu    sync.Mutex
 	watch lease.Watch
-	held  lease.Held
-	// mayOrder is from when on this holder may send orders, and stockBy until
-	// when it waits for what the engines hold.
-	mayOrder, stockBy time.Time
-	asks              demand.Book
-	// rates follow the demand of the moment, and habits that of half a minute.
-	rates, habits rates
-	stations      map[instance.ID]*station
-	// turnovers tell how fast the targets of each service leave.
-	turnovers map[string]*turnover
-	// feeds tell how many loads the weight store carries for each service.
-	feeds map[string]*feed
-	// waits are the models that can be had only later, sorted by key.
-	waits []Wait
-	// last is the newest news that was heard or published.
-	last   News
-	heard  time.Time
-	number uint64
-	// published says that nothing changed since the last news.
+	lease lease.Held
+	// ordersFrom is the time from which this holder may send orders. Until
+	// inventoryBy it waits for engines that have not reported which models
+	// they hold.
+	ordersFrom, inventoryBy time.Time
+	demand                  demand.Book
+	// shortRates follow the demand of the last seconds, and longRates that of
+	// about half a minute.
+	shortRates, longRates rates
+	engines               map[instance.ID]*trackedEngine
+	// churns measure how fast the targets of each service leave.
+	churns map[string]*churn
+	// storeCapacities estimate how many concurrent loads the weight store
+	// serves at full speed, by service.
+	storeCapacities map[string]*storeCapacity
+	// predictions are for the models that can only be loaded later, sorted by
+	// key.
+	predictions []Wait
+	// snapshot is the newest snapshot that was received or published, at
+	// snapshotAt.
+	snapshot   News
+	snapshotAt time.Time
+	number     uint64
+	// published is false when the state has changed since the last snapshot
+	// was published.
 	published bool
-	// retry is when the lease row is next looked at.
-	retry    time.Time
-	draining bool
+	// nextLeaseCall is the earliest time of the next lease check or renewal.
+	nextLeaseCall time.Time
+	draining      bool
 }
 
-// NotHolderError says that this entry does not hold the lease.
+// NotHolderError reports that this entry does not hold the lease.
 type NotHolderError struct{ Hint instance.ID }
 
 func (e *NotHolderError) Error() string {
-	return fmt.Sprintf("not the holder, try %q", string(e.Hint))
+	return fmt.Sprintf("not the lease holder, try %q", string(e.Hint))
 }
 
-// New returns an entry's part in the control. Run starts it.
+// New returns a Holder. Call Run to start it.
 func New(cfg Config) *Holder {
 	now := clock.Now()
 
 	return &Holder{
-		cfg: cfg, started: now, heard: now.Add(firstLook - silence), wake: make(chan struct{}, 1),
-		stations: make(map[instance.ID]*station), rates: rates{span: rateSpan}, habits: rates{span: habitSpan},
+		cfg: cfg, started: now, snapshotAt: now.Add(firstLeaseCheck - snapshotTimeout), wake: make(chan struct{}, 1),
+		engines: make(map[instance.ID]*trackedEngine), shortRates: rates{span: shortRateSpan}, longRates: rates{span: longRateSpan},
 	}
 }
 
 const (
-	// idleTick is how often the holder looks at what is due when nothing wakes
-	// it, and restTick how often the others do.
-	idleTick = 50 * time.Millisecond
-	restTick = 200 * time.Millisecond
-	// restShare is how many times as long as a round took the next one waits at
-	// least, so that decisions take at most a fifth of a core.
-	restShare = 4
-	// restMost bounds that wait: a round may take long because it was held up,
-	// and a holder that rests for seconds loses its lease.
-	restMost = 150 * time.Millisecond
-	// heldUp is from when on a round that took long is worth a line.
-	heldUp = 300 * time.Millisecond
-	// publishEvery is how often news are sent when nothing changes. Three
-	// that are missing make an entry doubt the holder.
-	publishEvery = 400 * time.Millisecond
-	// silence is after how long without news an entry looks at the lease.
-	silence = 1300 * time.Millisecond
-	// lookEvery is how often it does.
-	lookEvery = 400 * time.Millisecond
-	// firstLook is how long after its start an entry that hears no holder looks
-	// at the lease. By then it knows the others, so that not all of them look.
-	firstLook = 300 * time.Millisecond
-	// settled is how long after its start an entry may take the lease: by then
-	// it has heard of the others, of which a stronger one may be there.
-	settled = 900 * time.Millisecond
-	// watchers is how many entries look at the lease first, and lookStep how
-	// much later the next so many join them, since one of them takes it.
-	watchers = 5
-	lookStep = 400 * time.Millisecond
+	// holderInterval is the pause between rounds of the holder when nothing
+	// wakes it, and followerInterval that of the other entries.
+	holderInterval   = 50 * time.Millisecond
+	followerInterval = 200 * time.Millisecond
+	// restFactor times the duration of a round is the minimum pause before the
+	// next, so that decisions use at most a fifth of a core.
+	restFactor = 4
+	// maxRest bounds that pause: a round may take long because it was blocked
+	// rather than computing, and a holder that pauses for seconds loses its
+	// lease.
+	maxRest = 150 * time.Millisecond
+	// slowRound is the duration from which a round is logged.
+	slowRound = 300 * time.Millisecond
+	// publishInterval is the time between snapshots when nothing changes. An
+	// entry that misses three checks the lease.
+	publishInterval = 400 * time.Millisecond
+	// snapshotTimeout is the time without a snapshot after which an entry
+	// checks the lease.
+	snapshotTimeout = 1300 * time.Millisecond
+	// leaseCheckInterval is the time between two such checks.
+	leaseCheckInterval = 400 * time.Millisecond
+	// firstLeaseCheck is how long after its start an entry that has received
+	// no snapshot checks the lease. By then it has received the membership, so
+	// that not all entries check at once.
+	firstLeaseCheck = 300 * time.Millisecond
+	// acquireDelay is how long after its start an entry may acquire the lease.
+	// By then it has received the membership, which may contain a stronger
+	// entry.
+	acquireDelay = 900 * time.Millisecond
+	// groupSize is the number of entries that check the lease first. The next
+	// group of that size follows groupDelay later, and so on: usually an entry
+	// of the first group acquires the lease.
+	groupSize  = 5
+	groupDelay = 400 * time.Millisecond
 )
 
 // Run watches or holds the lease until ctx ends.
@@ -140,12 +153,12 @@
 		pause := h.step(ctx)
 
 		took := time.Since(began)
-		if took >= heldUp {
-			h.cfg.Log.Warn().Dur("took", took).Bool("holds", h.Holding()).Msg("round of decisions held up")
+		if took >= slowRound {
+			h.cfg.Log.Warn().Dur("took", took).Bool("holds", h.Holding()).Msg("slow decision round")
 		}
 
-		// Reports of many entries wake it hundreds of times a second.
-		_ = clock.Sleep(ctx, min(restShare*took, restMost))
+		// Reports of many entries wake the holder hundreds of times a second.
+		_ = clock.Sleep(ctx, min(restFactor*took, maxRest))
 
 		t := time.NewTimer(pause)
 
@@ -159,7 +172,7 @@
 	}
 }
 
-// Wake makes Run look at once.
+// Wake starts the next round of Run without waiting for its interval.
 func (h *Holder) Wake() {
 	select {
 	case h.wake <- struct{}{}:
@@ -167,8 +180,8 @@
 	}
 }
 
-// Announce makes the holder publish at once, because what entries must know
-// has changed.
+// Announce publishes a snapshot at once, for changes that entries must receive
+// without delay.
 func (h *Holder) Announce() {
 	h.mu.Lock()
 	h.published = false
@@ -178,13 +191,13 @@
 
 func (h *Holder) step(ctx context.Context) time.Duration {
 	h.mu.Lock()
-	held, draining := h.held, h.draining
-	quiet := clock.Now().Sub(h.heard)
-	due := !draining && quiet >= silence && !clock.Now().Before(h.retry)
+	held, draining := h.lease, h.draining
+	sinceSnapshot := clock.Now().Sub(h.snapshotAt)
+	due := !draining && sinceSnapshot >= snapshotTimeout && !clock.Now().Before(h.nextLeaseCall)
 	h.mu.Unlock()
 
 	if due && held.Token == 0 {
-		due = quiet >= silence+time.Duration(h.group())*lookStep
+		due = sinceSnapshot >= snapshotTimeout+time.Duration(h.watchGroup())*groupDelay
 	}
 
 	switch {
@@ -192,25 +205,26 @@
 		h.renewIfDue(ctx, held)
 		h.decide(ctx)
 
-		return idleTick
+		return holderInterval
 	case due:
-		h.look(ctx)
+		h.checkLease(ctx)
 	}
 
-	return restTick
+	return followerInterval
 }
 
-// Report takes in what an entry asks for.
+// Report records an entry's demand and the models or targets that it found
+// missing.
 func (h *Holder) Report(r demand.Report, missing []Missing) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	if h.held.Token == 0 {
-		return &NotHolderError{Hint: h.last.Holder}
+	if h.lease.Token == 0 {
+		return &NotHolderError{Hint: h.snapshot.Holder}
 	}
 
-	h.asks.Take(r, time.Now())
-	h.noteUses(r, clock.Now())
+	h.demand.Take(r, time.Now())
+	h.recordUses(r, clock.Now())
 
 	for _, m := range missing {
 		if m.Key == "" {
@@ -225,29 +239,29 @@
 	return nil
 }
 
-// Hear takes in another holder's news. It reports whether they are newer than
-// what was known.
-func (h *Holder) Hear(n News) bool {
+// Hear applies a snapshot of another holder. It reports whether the snapshot
+// is newer than the last one.
+func (h *Holder) Hear(next News) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	if !n.newer(h.last) {
+	if !next.newer(h.snapshot) {
 		return false
 	}
 
 	now := clock.Now()
-	h.last, h.heard = n, now
+	h.snapshot, h.snapshotAt = next, now
 
-	released := lease.Record{Cell: cell, Holder: n.Holder, Process: n.Process, Token: n.Token, Released: n.Successor != "", Successor: n.Successor}
-	h.watch.Observe(n.LeaseVersion, released, now)
+	released := lease.Record{Cell: cell, Holder: next.Holder, Process: next.Process, Token: next.Token, Released: next.Successor != "", Successor: next.Successor}
+	h.watch.Observe(next.LeaseVersion, released, now)
 
-	if h.held.Token != 0 && n.Token > h.held.Token {
-		h.cfg.Log.Warn().Uint64("token", h.held.Token).Str("holder", string(n.Holder)).Msg("lease lost")
-		h.held = lease.Held{}
+	if h.lease.Token != 0 && next.Token > h.lease.Token {
+		h.cfg.Log.Warn().Uint64("token", h.lease.Token).Str("holder", string(next.Holder)).Msg("lease lost")
+		h.lease = lease.Held{}
 	}
 
-	if n.Successor == h.cfg.Self {
-		h.heard, h.retry = time.Time{}, time.Time{}
+	if next.Successor == h.cfg.Self {
+		h.snapshotAt, h.nextLeaseCall = time.Time{}, time.Time{}
 		h.Wake()
 	}
 
@@ -259,13 +273,13 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	return h.held.Token != 0
+	return h.lease.Token != 0
 }
 
-// Known returns who was last heard to hold the lease.
+// Known returns the lease holder named by the newest snapshot.
 func (h *Holder) Known() instance.ID {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	return h.last.Holder
+	return h.snapshot.Holder
 }
--- a/internal/placement/holder/news.go
+++ b/internal/placement/holder/news.go
@@ -8,62 +8,63 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/inventory"
 )
 
-// News is what the holder tells all entries: what is loaded where, always
-// whole.
+// News is the full state that the holder publishes to all entries: which
+// models are loaded where.
 type News struct {
 	Holder  instance.ID
 	Process string
-	// Token is the fencing token of the holder's lease, and Number grows by
-	// one with each news under one token.
+	// Token is the fencing token of the holder's lease. Number grows by one
+	// with each snapshot under the same token.
 	Token, Number uint64
-	// LeaseVersion is that of the lease row, so that entries see renewals
-	// without reading it.
+	// LeaseVersion is the version of the lease row, so that entries see
+	// renewals without reading the row.
 	LeaseVersion uint64
-	// Config is the version of the configuration that the holder has in force,
-	// and List that of the list at the last change of which targets may be
-	// used. Entries that are behind read the store at once; the others need
-	// not.
+	// Config is the version of the configuration that the holder has in force.
+	// List is the version of the target list at the last change of which
+	// targets may be used. Entries with older versions read the store at once;
+	// the others need not.
 	Config, List uint64
-	// StoreAge is how long ago the holder last knew what stands in the store.
-	// Above a bound the others must look for themselves.
+	// StoreAge is how long ago the holder last read the store. Above a limit
+	// the other entries must read it themselves.
 	StoreAge time.Duration
-	// Successor is set when the holder gave the lease up.
+	// Successor is set when the holder has released the lease.
 	Successor instance.ID
 	Stations  []Station
-	// Waits are the models that requests wait for and that can be had only
-	// later, always whole.
+	// Waits are for the models that requests wait for and that can only be
+	// loaded later. The list is always complete, in a delta too.
 	Waits []Wait
 }
 
-// Wait says from when on a model can be had that is on no target, nor on its
-// way to one.
+// Wait predicts when a model becomes ready that is neither on a target nor
+// being loaded.
 type Wait struct {
 	Key   string
 	Ready time.Time
-	// Since is when the holder first said so. Only the holder knows it.
+	// Since is when the holder first made the prediction. It is not sent to
+	// other entries.
 	Since time.Time
 }
 
-// newer reports whether n was sent later than o.
-func (n News) newer(o News) bool {
-	if n.Token != o.Token {
-		return n.Token > o.Token
+// newer reports whether s was published later than o.
+func (s News) newer(o News) bool {
+	if s.Token != o.Token {
+		return s.Token > o.Token
 	}
 
-	return n.Number > o.Number
+	return s.Number > o.Number
 }
 
-// Station is what the holder knows of one engine.
+// Station is the state of one engine as the holder has recorded it.
 type Station struct {
 	Target instance.ID
-	// Born tells the target's processes apart.
+	// Born distinguishes successive processes of the target.
 	Born int64
-	// Sequence is how many orders the process had accepted.
+	// Sequence is the number of orders that the process has accepted.
 	Sequence uint64
-	// Running is how many requests run there over all entries.
+	// Running is the number of requests of all entries that run on the target.
 	Running int
-	// Lines is at how many entries at most requests wait for one of the models,
-	// rounded up, so that it seldom changes.
+	// Lines is the largest number of entries that have requests queued for one
+	// of the engine's models, rounded up so that it rarely changes.
 	Lines int
 	Held  []Held
 }
@@ -81,8 +82,9 @@
 	Ready time.Time
 }
 
-// Missing says that a target answered that it does not hold what the holder
-// says it does, or, without a key, that it takes no connection.
+// Missing reports that a target answered that it does not hold the model or
+// adapter Key, contrary to the snapshot. An empty Key means that the target
+// accepts no connection.
 type Missing struct {
 	Target instance.ID
 	Key    string
@@ -90,9 +92,9 @@
 
 // Engines sends orders to engines and reads their reports.
 type Engines interface {
-	// Order hands over an order. An error means that nothing is known of it.
+	// Order sends an order. After an error the order is in doubt.
 	Order(ctx context.Context, t inventory.Target, o Order) (Outcome, error)
-	// Report returns what the engine holds, as of some time ago.
+	// Report returns the models that the engine held a short time ago.
 	Report(ctx context.Context, t inventory.Target) (Report, error)
 }
 
@@ -101,22 +103,23 @@
 	Unload  bool
 	Model   string
 	Adapter string
-	// Sequence is how many orders the engine must have accepted before.
+	// Sequence is the number of orders that the engine must have accepted
+	// before.
 	Sequence uint64
 	Holder   instance.ID
 	Token    uint64
 }
 
-// Outcome is what an engine answers to an order.
+// Outcome is an engine's answer to an order.
 type Outcome int
 
 // The outcomes of an order.
 const (
-	// Accepted orders are being carried out.
+	// Accepted means that the order is being carried out.
 	Accepted Outcome = iota
-	// Holds means that there was nothing to do, or that it is done.
+	// Holds means that there was nothing to do, or that it is already done.
 	Holds
-	// Busy means that another order is under way or that the sequence
+	// Busy means that another order is being carried out or that the sequence
 	// differs.
 	Busy
 	// Rejected means that the order can never be carried out.
@@ -125,15 +128,14 @@
 	Elsewhere
 )
 
-// Report is what an engine says it holds.
+// Report is an engine's report of what it holds.
 type Report struct {
-	// Born tells the engine's processes apart, as on the list; zero means that
-	// it did not say.
+	// Born distinguishes successive processes of the engine, as on the target
+	// list; zero means that the engine did not report it.
 	Born     int64
 	Busy     bool
 	Sequence uint64
 	Held     []inventory.Held
-	// Pending are adapters on their way, as model and adapter with a slash
-	// between.
+	// Pending are adapters that are being loaded, as model/adapter.
 	Pending []string
 }
--- a/internal/placement/holder/orders.go
+++ b/internal/placement/holder/orders.go
@@ -10,220 +10,222 @@
 )
 
 const (
-	// orderTimeout bounds an order's answer. Engines answer within a few
-	// milliseconds; a silent connection is given up after this.
+	// orderTimeout bounds the wait for the answer to an order. Engines answer
+	// within a few milliseconds.
 	orderTimeout = 700 * time.Millisecond
-	// busyAgain is how soon an order is sent again to an engine that has
-	// another in hand, and busyMost for how long: an unload waits for the runs
-	// on its model.
-	busyAgain = 70 * time.Millisecond
-	busyMost  = 4 * time.Second
-	// busyTries is after how many tries an engine is asked whether it is busy
-	// or has another sequence: longer than its report may be old.
-	busyTries = 6
-	// reportLag is how old an engine's report may be.
-	reportLag = 350 * time.Millisecond
-	// reportAgain is how soon an engine that gave no clear report is asked
-	// again.
-	reportAgain = 370 * time.Millisecond
-	// foretold is added to a load's time before requests are sent, for the
-	// way of the order and the engine's own step.
-	foretold = 20 * time.Millisecond
+	// busyRetryDelay is the delay before an order is sent again to an engine
+	// that is carrying out another one, and busyTimeout the total time of
+	// these retries: an unload waits for the running requests of its model.
+	busyRetryDelay = 70 * time.Millisecond
+	busyTimeout    = 4 * time.Second
+	// busyReportEvery is the number of attempts after which the engine is
+	// asked whether it is busy or has another sequence. These attempts take
+	// longer than maxReportAge, so that the report is recent enough.
+	busyReportEvery = 6
+	// maxReportAge is the maximum age of the state in an engine's report.
+	maxReportAge = 350 * time.Millisecond
+	// reportRetryDelay is the delay before an engine that gave no conclusive
+	// report is asked again.
+	reportRetryDelay = 370 * time.Millisecond
+	// orderMargin is added to the duration of a load before requests are sent,
+	// for the transit of the order and the engine's own processing.
+	orderMargin = 20 * time.Millisecond
 )
 
-// swap unloads what makes way and loads the model.
-func (h *Holder) swap(ctx context.Context, s *station, m swap.Move) {
-	sent := h.sendAll(ctx, s, m)
+// swap unloads the models of m.Unload and loads m.Load.
+func (h *Holder) swap(ctx context.Context, eng *trackedEngine, m swap.Move) {
+	sent := h.sendOrders(ctx, eng, m)
 
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
 	if !sent {
-		s.storeLoad = ""
+		eng.storeLoad = ""
 
 		return
 	}
 
 	now := clock.Now()
-	s.loading, s.loadBegan, s.ordering = now.Add(m.Takes+foretold), now, ""
+	eng.loadEnds, eng.loadStarted, eng.unacceptedLoad = now.Add(m.Takes+orderMargin), now, ""
 
-	if res := s.held[m.Load]; res != nil {
-		res.ready, res.used = s.loading, now
+	if resident := eng.models[m.Load]; resident != nil {
+		resident.ready, resident.used = eng.loadEnds, now
 	}
 
-	e := h.engineOf(s)
+	e := h.engineConfig(eng)
 
-	if s.storeLoad != "" {
-		h.feed(s.target.Service).begin(s.target.ID, m.Load, e.Models[m.Load].FromStore, now)
+	if eng.storeLoad != "" {
+		h.storeCapacity(eng.target.Service).start(eng.target.ID, m.Load, e.Models[m.Load].FromStore, now)
 	}
 
-	// A load leaves copies in memory and on disk.
-	s.weights.load(m.Load, e, s.loading)
-	s.atHand = s.weights.tiers()
+	// A load leaves copies in host memory and on disk.
+	eng.copies.recordLoad(m.Load, e, eng.loadEnds)
+	eng.localTiers = eng.copies.tiers()
 	h.published = false
 }
 
-// engineOf returns what the operators say of the station's engine: nothing where
-// they have taken it out meanwhile.
-func (h *Holder) engineOf(s *station) *route.Engine {
+// engineConfig returns the configuration of the service's engine, or an empty
+// one if the operators have removed it in the meantime.
+func (h *Holder) engineConfig(eng *trackedEngine) *route.Engine {
 	routes := h.cfg.Routes()
-	if routes == nil || routes.Services[s.target.Service].Engine == nil {
+	if routes == nil || routes.Services[eng.target.Service].Engine == nil {
 		return &route.Engine{}
 	}
 
-	return routes.Services[s.target.Service].Engine
+	return routes.Services[eng.target.Service].Engine
 }
 
-// sendAll hands over a swap's orders, and reports whether the load is begun.
-func (h *Holder) sendAll(ctx context.Context, s *station, m swap.Move) bool {
+// sendOrders sends a swap's orders and reports whether the load has started.
+func (h *Holder) sendOrders(ctx context.Context, eng *trackedEngine, m swap.Move) bool {
 	for _, model := range m.Unload {
-		if !h.send(ctx, s, Order{Unload: true, Model: model}) {
+		if !h.sendOrder(ctx, eng, Order{Unload: true, Model: model}) {
 			return false
 		}
 	}
 
-	return h.send(ctx, s, Order{Model: m.Load})
+	return h.sendOrder(ctx, eng, Order{Model: m.Load})
 }
 
-// loadAdapter loads an adapter, after an idle one was given up if need be.
-func (h *Holder) loadAdapter(ctx context.Context, s *station, model, adapter, idle string) {
+// loadAdapter loads an adapter, after unloading an idle one if one is given.
+func (h *Holder) loadAdapter(ctx context.Context, eng *trackedEngine, model, adapter, idle string) {
 	if idle != "" {
 		_, idleModel, idleName := splitKey("/" + idle)
 
 		h.mu.Lock()
-		if res := s.held[idleModel]; res != nil {
-			delete(res.adapters, idleName)
+		if resident := eng.models[idleModel]; resident != nil {
+			delete(resident.adapters, idleName)
 		}
 
 		h.publish(clock.Now())
 		h.mu.Unlock()
 
-		if !h.send(ctx, s, Order{Unload: true, Model: idleModel, Adapter: idleName}) {
+		if !h.sendOrder(ctx, eng, Order{Unload: true, Model: idleModel, Adapter: idleName}) {
 			return
 		}
 	}
 
-	if !h.send(ctx, s, Order{Model: model, Adapter: adapter}) {
+	if !h.sendOrder(ctx, eng, Order{Model: model, Adapter: adapter}) {
 		return
 	}
 
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	if res := s.held[model]; res != nil {
+	if resident := eng.models[model]; resident != nil {
 		now := clock.Now()
-		res.adapters[adapter] = &placed{ready: now.Add(adapterTime), used: now}
+		resident.adapters[adapter] = &trackedAdapter{ready: now.Add(adapterLoadTime), used: now}
 	}
 
 	h.published = false
 }
 
-// send hands over one order and reports whether it is, or will be, carried
-// out. If not, the station is no longer known and the engine is asked.
-func (h *Holder) send(ctx context.Context, s *station, o Order) bool {
+// sendOrder sends one order and reports whether it is or will be carried out.
+// If not, the engine is no longer synced and will be asked for a report.
+func (h *Holder) sendOrder(ctx context.Context, eng *trackedEngine, o Order) bool {
 	began := clock.Now()
 	tries := 0
 
 	for {
-		if !h.stamp(s, &o) {
+		if !h.stamp(eng, &o) {
 			return false
 		}
 
-		out, err := h.submit(ctx, s, o)
+		out, err := h.submit(ctx, eng, o)
 
 		switch {
 		case err != nil:
-			h.cfg.Log.Warn().Err(err).Str("target", string(s.origin.ID)).Str("model", o.Model).Uint64("sequence", o.Sequence).Msg("order without answer")
+			h.cfg.Log.Warn().Err(err).Str("target", string(eng.origin.ID)).Str("model", o.Model).Uint64("sequence", o.Sequence).Msg("order without answer")
 
-			if !h.settle(ctx, s, o) {
+			if !h.resolveInDoubt(ctx, eng, o) {
 				return false
 			}
 		case out == Accepted || out == Holds:
-			h.accepted(s, o, out)
-			h.cfg.Log.Info().Str("target", string(s.origin.ID)).Str("model", o.Model).Str("adapter", o.Adapter).Bool("unload", o.Unload).
+			h.recordAccepted(eng, o, out)
+			h.cfg.Log.Info().Str("target", string(eng.origin.ID)).Str("model", o.Model).Str("adapter", o.Adapter).Bool("unload", o.Unload).
 				Uint64("sequence", o.Sequence).Int("tries", tries+1).Dur("took", clock.Now().Sub(began)).Msg("order accepted")
 
 			return true
-		case out == Busy && clock.Now().Sub(began) < busyMost:
+		case out == Busy && clock.Now().Sub(began) < busyTimeout:
 			tries++
 
-			if clock.Sleep(ctx, busyAgain) != nil || tries%busyTries == 0 && h.outOfStep(ctx, s, o) {
-				return h.lose(s, o, out)
+			if clock.Sleep(ctx, busyRetryDelay) != nil || tries%busyReportEvery == 0 && h.sequenceDiffers(ctx, eng, o) {
+				return h.failOrder(eng, o, out)
 			}
 		default:
-			return h.lose(s, o, out)
+			return h.failOrder(eng, o, out)
 		}
 	}
 }
 
-// outOfStep reports whether an engine that declines an order is not busy but
-// has accepted orders that this holder does not know of.
-func (h *Holder) outOfStep(ctx context.Context, s *station, o Order) bool {
-	r, err := h.report(ctx, s)
+// sequenceDiffers reports whether an engine that declines an order is not busy
+// but has accepted orders that this holder has not recorded.
+func (h *Holder) sequenceDiffers(ctx context.Context, eng *trackedEngine, o Order) bool {
+	r, err := h.report(ctx, eng)
 
 	return err == nil && !r.Busy && r.Sequence != o.Sequence
 }
 
-// stamp puts the lease's token and the engine's sequence on an order. It
-// reports false when the lease no longer allows one.
+// stamp sets the lease's token and the engine's sequence on an order. It
+// returns false when the lease does not allow an order.
 //
-// It guards against a holder that was paused or cut off and still believes it
-// holds its lease: it is asked right before each order, after the last wait,
-// on a clock that counts suspensions.
-func (h *Holder) stamp(s *station, o *Order) bool {
+// A holder that was paused or cut off may still consider its lease valid. So
+// the lease is checked right before each order, after the last wait, against a
+// clock that includes suspensions.
+func (h *Holder) stamp(eng *trackedEngine, o *Order) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	if h.draining || !h.held.Valid(clock.Now(), h.cfg.Terms) || h.stations[s.origin.ID] != s {
-		s.known = false
+	if h.draining || !h.lease.Valid(clock.Now(), h.cfg.Terms) || h.engines[eng.origin.ID] != eng {
+		eng.synced = false
 
 		return false
 	}
 
-	o.Sequence, o.Token, o.Holder = s.sequence, h.held.Token, h.cfg.Self
+	o.Sequence, o.Token, o.Holder = eng.sequence, h.lease.Token, h.cfg.Self
 
 	return true
 }
 
-func (h *Holder) submit(ctx context.Context, s *station, o Order) (Outcome, error) {
+func (h *Holder) submit(ctx context.Context, eng *trackedEngine, o Order) (Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 
-	return h.cfg.Engines.Order(ctx, s.origin, o)
+	return h.cfg.Engines.Order(ctx, eng.origin, o)
 }
 
-// accepted counts an order. An order that already holds is not counted by the
-// engine, but for the unload of an adapter, which is done at once.
-func (h *Holder) accepted(s *station, o Order, out Outcome) {
+// recordAccepted counts an order. Engines don't count an order that had
+// nothing to do, except the unload of an adapter, which is done at once.
+func (h *Holder) recordAccepted(eng *trackedEngine, o Order, out Outcome) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
 	if out == Accepted || o.Unload {
-		s.sequence++
+		eng.sequence++
 	}
 }
 
-func (h *Holder) lose(s *station, o Order, out Outcome) bool {
+func (h *Holder) failOrder(eng *trackedEngine, o Order, out Outcome) bool {
 	h.mu.Lock()
-	s.known = false
+	eng.synced = false
 	h.mu.Unlock()
 
-	h.cfg.Log.Info().Str("target", string(s.origin.ID)).Str("model", o.Model).Str("adapter", o.Adapter).Bool("unload", o.Unload).
+	h.cfg.Log.Info().Str("target", string(eng.origin.ID)).Str("model", o.Model).Str("adapter", o.Adapter).Bool("unload", o.Unload).
 		Uint64("sequence", o.Sequence).Int("outcome", int(out)).Msg("order not carried out")
 
 	return false
 }
 
-// settle finds out whether an order without an answer must be sent again.
+// resolveInDoubt determines whether an order without an answer must be sent
+// again.
 //
-// It guards against engines that leave an order unanswered and carry it out
-// seconds later. One that was not carried out yet is sent again under the same
-// sequence, so that only one of the two can be. One that seems to be carried
-// out may be a former holder's instead, which was as late, so the engine is
-// asked what it holds before anything else is ordered.
-func (h *Holder) settle(ctx context.Context, s *station, o Order) (again bool) {
-	if clock.Sleep(ctx, reportLag) == nil {
-		if r, err := h.report(ctx, s); err == nil && r.Sequence == o.Sequence {
+// An engine may leave an order unanswered and carry it out seconds later. An
+// order that has not been carried out is sent again under the same sequence,
+// so that only one of the two can take effect. If the sequence has moved on,
+// the cause may be a delayed order of a former holder instead, so the engine
+// must report its models before it gets other orders.
+func (h *Holder) resolveInDoubt(ctx context.Context, eng *trackedEngine, o Order) (again bool) {
+	if clock.Sleep(ctx, maxReportAge) == nil {
+		if r, err := h.report(ctx, eng); err == nil && r.Sequence == o.Sequence {
 			return true
 		}
 	}
@@ -231,69 +233,69 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	s.known = false
+	eng.synced = false
 
 	return false
 }
 
-func (h *Holder) report(ctx context.Context, s *station) (Report, error) {
+func (h *Holder) report(ctx context.Context, eng *trackedEngine) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 
-	return h.cfg.Engines.Report(ctx, s.origin)
+	return h.cfg.Engines.Report(ctx, eng.origin)
 }
 
-// steady reports whether an engine's sequence was the same a report's age ago.
+// steady reports whether an engine's sequence has been unchanged for
+// maxReportAge.
 //
-// It guards against a report whose parts are of different age: an order of a
-// former holder would be counted in its sequence, while the model that it loads
-// is not yet among those held.
-func (s *station) steady(r Report, now time.Time) bool {
-	if s.reported.IsZero() || s.reportedSequence != r.Sequence {
-		s.reported, s.reportedSequence = now, r.Sequence
+// The parts of a report may differ in age: its sequence may already count an
+// order of a former holder while the model that it loads is not yet listed.
+func (eng *trackedEngine) steady(r Report, now time.Time) bool {
+	if eng.reportedAt.IsZero() || eng.reportedSequence != r.Sequence {
+		eng.reportedAt, eng.reportedSequence = now, r.Sequence
 
 		return false
 	}
 
-	return now.Sub(s.reported) >= reportLag
+	return now.Sub(eng.reportedAt) >= maxReportAge
 }
 
-// inquire asks an engine what it holds.
-func (h *Holder) inquire(ctx context.Context, s *station) {
-	r, err := h.report(ctx, s)
+// inquire asks an engine for a report and applies it.
+func (h *Holder) inquire(ctx context.Context, eng *trackedEngine) {
+	r, err := h.report(ctx, eng)
 
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
 	if err != nil {
-		h.cfg.Log.Warn().Err(err).Str("target", string(s.origin.ID)).Msg("engine gave no report")
-		h.unreached(s, clock.Now())
+		h.cfg.Log.Warn().Err(err).Str("target", string(eng.origin.ID)).Msg("cannot get engine report")
+		h.markDown(eng, clock.Now())
 
 		return
 	}
 
 	now := clock.Now()
 
-	if s.restarted(r) {
-		h.cfg.Log.Info().Str("target", string(s.origin.ID)).Int64("born", r.Born).Uint64("sequence", s.sequence).Msg("engine restarted")
-		h.feed(s.target.Service).drop(s.origin.ID, now)
+	if eng.resetIfRestarted(r) {
+		h.cfg.Log.Info().Str("target", string(eng.origin.ID)).Int64("born", r.Born).Uint64("sequence", eng.sequence).Msg("engine restarted")
+		h.storeCapacity(eng.target.Service).remove(eng.origin.ID, now)
 		h.published = false
 	}
 
-	if s.down {
-		s.down, h.published = false, false
+	if eng.down {
+		eng.down, h.published = false, false
 	}
 
-	// A report that is older than the last order says nothing.
-	if r.Sequence < s.sequence {
+	// A report with a lower sequence predates the last order.
+	if r.Sequence < eng.sequence {
 		return
 	}
 
-	if !s.steady(r, now) {
+	if !eng.steady(r, now) {
 		return
 	}
 
-	s.take(r, now)
-	h.cfg.Log.Info().Str("target", string(s.origin.ID)).Uint64("sequence", r.Sequence).Int("models", len(r.Held)).Bool("busy", r.Busy).Msg("engine reported")
+	eng.applyReport(r, now)
+	h.cfg.Log.Info().Str("target", string(eng.origin.ID)).Uint64("sequence", r.Sequence).Int("models", len(r.Held)).Bool("busy", r.Busy).Msg("engine reported")
 	h.published = false
 }
--- a/internal/placement/holder/rates.go
+++ b/internal/placement/holder/rates.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// rateSpan is over what time the rate of a model's requests is smoothed:
-	// long enough to tell a busy model from a rare one, short against the time
-	// in which the busy models change.
-	rateSpan = 6 * time.Second
-	// habitSpan is the same for decisions that last: a load from the weight store
-	// is for what is asked for in the next half minute.
-	habitSpan = 20 * time.Second
+	// shortRateSpan is the time constant for smoothing a model's request rate.
+	// It is long enough to tell a busy model from a rare one, and short
+	// compared to the time in which the set of busy models changes.
+	shortRateSpan = 6 * time.Second
+	// longRateSpan is the same for decisions with a longer effect: a load from
+	// the weight store serves the demand of the next half minute.
+	longRateSpan = 20 * time.Second
 )
 
-// rates are the smoothed rates of requests by model. Set span before use.
+// rates are the smoothed request rates by model. Set span before use.
 type rates struct {
 	span      time.Duration
 	perSecond map[string]float64
--- a/internal/placement/holder/replacement_test.go
+++ b/internal/placement/holder/replacement_test.go
@@ -17,64 +17,66 @@
 )
 
 const (
-	// rare is how many models beside the busy one are asked for now and then.
-	rare = 23
-	// replaced is how many targets there are, of which every other second one is
-	// replaced by an empty one.
-	replaced = 8
-	// fromStore is what a load from the weight store takes, and atOnce how many
-	// it feeds at full speed.
-	fromStore = 6 * time.Second
-	atOnce    = 4
-	// busyOn is the first of the two targets that hold the busy model.
-	busyOn = 3
-	// busyPatience and rarePatience are how long callers wait.
-	busyPatience = 1500 * time.Millisecond
-	rarePatience = 5600 * time.Millisecond
-	runs         = 300 * time.Millisecond
-	callerTick   = 50 * time.Millisecond
-	callerEnd    = 50 * time.Second
-	firstJoins   = 10 * time.Second
-	joinsEvery   = 2 * time.Second
-	// leavesAfter is how long after the new target joined the old one leaves.
-	leavesAfter = time.Second
+	// rareModels is the number of models that are requested now and then,
+	// beside the busy one.
+	rareModels = 23
+	// replacedTargets is the number of targets, of which one is replaced by an
+	// empty one every other second.
+	replacedTargets = 8
+	// fromStore is the duration of a load from the weight store, and
+	// concurrentLoads the number that it serves at full speed.
+	fromStore       = 6 * time.Second
+	concurrentLoads = 4
+	// busyTarget is the first of the two targets that hold the busy model.
+	busyTarget = 3
+	// busyRequestTimeout and rareRequestTimeout are how long requests wait.
+	busyRequestTimeout = 1500 * time.Millisecond
+	rareRequestTimeout = 5600 * time.Millisecond
+	runTime            = 300 * time.Millisecond
+	tickInterval       = 50 * time.Millisecond
+	workloadEnd        = 50 * time.Second
+	firstJoin          = 10 * time.Second
+	joinInterval       = 2 * time.Second
+	// leaveDelay is the time between a new target's joining and the old one's
+	// leaving.
+	leaveDelay = time.Second
 )
 
-// pending is a caller that waits.
-type pending struct {
+// waitingRequest is a request that waits.
+type waitingRequest struct {
 	model string
 	until time.Time
 }
 
-// callers ask for models at a steady pace and note what they get.
-type callers struct {
-	w       *world
+// workload sends requests for models at a steady rate and records the outcome.
+type workload struct {
+	cl      *cluster
 	began   time.Time
-	waiting []pending
+	waiting []waitingRequest
 	arrived map[string]int
 	running map[ledger.Key]int
-	// served and asked count them by whether they are for the busy model.
+	// served and asked count requests; the key is true for the busy model.
 	served, asked map[bool]int
-	// possible is how many an oracle would have served.
+	// possible counts the requests that the oracle would serve.
 	possible map[bool]int
 }
 
-// asks returns the models that are asked for in the nth tick: the busy one each
-// time, the others in turn, two a second.
-func asks(n int) []string {
+// arrivals returns the models requested in the nth tick: the busy one each
+// time, and the others in turn, two a second.
+func arrivals(n int) []string {
 	out := []string{"m0"}
 	if n%10 == 0 {
-		out = append(out, fmt.Sprintf("m%d", 1+(n/10*7)%rare))
+		out = append(out, fmt.Sprintf("m%d", 1+(n/10*7)%rareModels))
 	}
 
 	return out
 }
 
-// oracle returns whether one who knows the schedule could serve a request for
-// the model that arrives then. It has a copy of the busy model in time; of the
-// others it has those whose targets are still there, and those that the weight
-// store has loaded since the first empty target came, in the order of the
-// models' numbers from the last on.
+// oracle reports whether a scheduler that knew the whole schedule could serve
+// a request for the model that arrives then. It has a replica of the busy
+// model in time. Of the other models it has those whose targets have not left,
+// and those that the weight store has loaded since the first empty target
+// joined, in the order in which their targets leave.
 func oracle(model string, at time.Duration) bool {
 	if model == "m0" {
 		return true
@@ -84,25 +86,26 @@
 
 	_, _ = fmt.Sscanf(model, "m%d", &n)
 
-	leaves := firstJoins + leavesAfter + time.Duration(n%replaced)*joinsEvery
-	loads := int((at + rarePatience - firstJoins) / fromStore * atOnce)
+	leaves := firstJoin + leaveDelay + time.Duration(n%replacedTargets)*joinInterval
+	loads := int((at + rareRequestTimeout - firstJoin) / fromStore * concurrentLoads)
 
-	return at < leaves || rank(n) < loads
+	return at < leaves || leaveRank(n) < loads
 }
 
-// rank is the place of a rare model in the order in which their targets leave.
-func rank(n int) int { return n%replaced*3 + n/replaced }
+// leaveRank is the rank of a rare model in the order in which their targets
+// leave.
+func leaveRank(n int) int { return n%replacedTargets*3 + n/replacedTargets }
 
-func (c *callers) tick(n int) {
+func (c *workload) tick(n int) {
 	now := time.Now()
 
-	for _, model := range asks(n) {
-		patience := rarePatience
+	for _, model := range arrivals(n) {
+		timeout := rareRequestTimeout
 		if model == "m0" {
-			patience = busyPatience
+			timeout = busyRequestTimeout
 		}
 
-		c.waiting = append(c.waiting, pending{model, now.Add(patience)})
+		c.waiting = append(c.waiting, waitingRequest{model, now.Add(timeout)})
 		c.arrived[model]++
 		c.asked[model == "m0"]++
 
@@ -111,45 +114,45 @@
 		}
 	}
 
-	told := make(map[string]time.Time)
-	for _, wait := range c.w.heard().Waits {
-		told[wait.Key] = wait.Ready
+	predicted := make(map[string]time.Time)
+	for _, wait := range c.cl.latest().Waits {
+		predicted[wait.Key] = wait.Ready
 	}
 
-	var still []pending
+	var unfinished []waitingRequest
 
 	for _, p := range c.waiting {
 		switch {
-		case c.begin(p.model):
+		case c.tryRun(p.model):
 			c.served[p.model == "m0"]++
-		case now.After(p.until) || told["s/"+p.model].After(p.until):
+		case now.After(p.until) || predicted["s/"+p.model].After(p.until):
 		default:
-			still = append(still, p)
+			unfinished = append(unfinished, p)
 		}
 	}
 
-	c.waiting = still
+	c.waiting = unfinished
 	c.report()
 }
 
-// begin runs a request on a worker that is not leaving.
-func (c *callers) begin(model string) bool {
-	c.w.mu.Lock()
-	defer c.w.mu.Unlock()
+// tryRun runs a request on a worker that is not leaving.
+func (c *workload) tryRun(model string) bool {
+	c.cl.mu.Lock()
+	defer c.cl.mu.Unlock()
 
-	for id, one := range c.w.workers {
-		if c.w.leaving[id] || !one.Begin("r", model, "") {
+	for id, one := range c.cl.workers {
+		if c.cl.leaving[id] || !one.Begin("r", model, "") {
 			continue
 		}
 
 		k := ledger.Key{Target: id, Model: "s/" + model}
 		c.running[k]++
 
-		time.AfterFunc(runs, func() {
+		time.AfterFunc(runTime, func() {
 			one.End(model)
 
-			c.w.mu.Lock()
-			defer c.w.mu.Unlock()
+			c.cl.mu.Lock()
+			defer c.cl.mu.Unlock()
 
 			c.running[k]--
 		})
@@ -160,115 +163,115 @@
 	return false
 }
 
-func (c *callers) report() {
+func (c *workload) report() {
 	r := demand.Report{Entry: "e"}
-	lines := make(map[string]*replica.Demand)
+	demands := make(map[string]*replica.Demand)
 
 	for model, n := range c.arrived {
-		lines[model] = &replica.Demand{Model: "s/" + model, Arrived: n}
+		demands[model] = &replica.Demand{Model: "s/" + model, Arrived: n}
 		delete(c.arrived, model)
 	}
 
 	for _, p := range c.waiting {
-		if lines[p.model] == nil {
-			lines[p.model] = &replica.Demand{Model: "s/" + p.model}
+		if demands[p.model] == nil {
+			demands[p.model] = &replica.Demand{Model: "s/" + p.model}
 		}
 
-		lines[p.model].Waiting++
-		lines[p.model].Deadline = p.until
+		demands[p.model].Waiting++
+		demands[p.model].Deadline = p.until
 	}
 
-	for _, d := range lines {
+	for _, d := range demands {
 		r.Waiting = append(r.Waiting, *d)
 	}
 
-	c.w.mu.Lock()
+	c.cl.mu.Lock()
 	for k, n := range c.running {
 		r.Uses = append(r.Uses, demand.Use{Key: k, Running: n})
 	}
-	c.w.mu.Unlock()
+	c.cl.mu.Unlock()
 
-	for _, m := range c.w.holders {
+	for _, m := range c.cl.holders {
 		if m.Report(r, nil) == nil {
 			return
 		}
 	}
 }
 
-// TestReplacement: all targets of a service are replaced by empty ones, one
-// after the other, under steady demand for a busy model and many rare ones. The
-// weights on the old targets' disks go with them, and the weight store brings
-// four models in six seconds. Callers of the busy model must notice nothing; of
-// those of the others as many must be served as seven tenths of what one could
-// schedule. Loads by deadline went to rare models, and the
-// busy one was gone for seconds.
+// TestReplacement replaces all targets of a service by empty ones, one after
+// the other, under steady demand for a busy model and many rare ones. The
+// weights on the old targets' disks go with them, and the weight store loads
+// four models in six seconds. At least 99 % of the requests for the busy model
+// must be served, and of those for the rare models at least half as many as
+// the oracle serves. It guards against loads chosen by deadline alone, which
+// go to rare models while the busy one is on no target for seconds.
 func TestReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := engine()
 		e.AdapterSlots, e.Slots = 0, 24
 
-		for i := range rare + 1 {
+		for i := range rareModels + 1 {
 			name := fmt.Sprintf("m%d", i)
 			e.Models[name] = route.Model{Name: name, MB: 10, FromStore: fromStore, FromDisk: 500 * time.Millisecond, FromMemory: 400 * time.Millisecond}
 		}
 
-		w := newWorldOf(t, 1, e, 0)
-		for i := range replaced {
+		cl := newClusterOf(t, 1, e, 0)
+		for i := range replacedTargets {
 			one := &worker.Worker{Engine: e, Holding: []string{fmt.Sprintf("m%d", i)}}
-			for n := i; n <= rare; n += replaced {
+			for n := i; n <= rareModels; n += replacedTargets {
 				one.OnDisk = append(one.OnDisk, fmt.Sprintf("m%d", n))
 			}
 
-			if i == busyOn || i == busyOn+1 {
+			if i == busyTarget || i == busyTarget+1 {
 				one.Holding = []string{"m0"}
 			}
 
-			w.join(instance.ID(fmt.Sprintf("old%d", i)), one)
+			cl.join(instance.ID(fmt.Sprintf("old%d", i)), one)
 		}
 
-		for i := range replaced {
+		for i := range replacedTargets {
 			old, fresh := instance.ID(fmt.Sprintf("old%d", i)), instance.ID(fmt.Sprintf("new%d", i))
-			at := firstJoins + time.Duration(i)*joinsEvery
+			at := firstJoin + time.Duration(i)*joinInterval
 
-			time.AfterFunc(at, func() { w.join(fresh, &worker.Worker{Engine: e}) })
-			time.AfterFunc(at+leavesAfter, func() { w.leave(old) })
-			time.AfterFunc(at+leavesAfter+3*time.Second, func() { w.remove(old) })
+			time.AfterFunc(at, func() { cl.join(fresh, &worker.Worker{Engine: e}) })
+			time.AfterFunc(at+leaveDelay, func() { cl.leave(old) })
+			time.AfterFunc(at+leaveDelay+3*time.Second, func() { cl.remove(old) })
 		}
 
-		c := &callers{
-			w: w, began: time.Now(), arrived: make(map[string]int), running: make(map[ledger.Key]int),
+		c := &workload{
+			cl: cl, began: time.Now(), arrived: make(map[string]int), running: make(map[ledger.Key]int),
 			served: make(map[bool]int), asked: make(map[bool]int), possible: make(map[bool]int),
 		}
-		for n := range int(callerEnd / callerTick) {
+		for n := range int(workloadEnd / tickInterval) {
 			c.tick(n)
-			time.Sleep(callerTick)
+			time.Sleep(tickInterval)
 		}
 
 		t.Logf("busy: %d of %d served; rare: %d of %d, the oracle %d", c.served[true], c.asked[true], c.served[false], c.asked[false], c.possible[false])
 		assert.Assert(t, c.served[true] >= c.asked[true]*99/100, "busy model: %d of %d", c.served[true], c.asked[true])
 		assert.Assert(t, 2*c.served[false] >= c.possible[false], "rare models: %d of %d", c.served[false], c.possible[false])
-		w.finish()
+		cl.finish()
 	})
 }
 
-func (w *world) join(id instance.ID, one *worker.Worker) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (cl *cluster) join(id instance.ID, one *worker.Worker) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 
-	w.workers[id] = one
+	cl.workers[id] = one
 }
 
-func (w *world) leave(id instance.ID) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (cl *cluster) leave(id instance.ID) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 
-	w.leaving[id] = true
+	cl.leaving[id] = true
 }
 
-func (w *world) remove(id instance.ID) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (cl *cluster) remove(id instance.ID) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 
-	delete(w.workers, id)
-	delete(w.rows, id)
+	delete(cl.workers, id)
+	delete(cl.rows, id)
 }
--- a/internal/placement/holder/station.go
+++ b/internal/placement/holder/station.go
@@ -14,75 +14,81 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/route"
 )
 
-// station is what the holder knows of one engine.
+// trackedEngine is the holder's record of one engine.
 //
-// Every order names the sequence that the engine must have, and what the
-// station holds is what the engine held at that sequence. So an order that is
-// decided on wrong knowledge, or that is carried out seconds late, is refused
-// by the engine, and memory is never overcommitted.
-type station struct {
-	// origin is the target as it was when the station was made, to which
-	// orders are addressed. It does not change.
+// Every order names the sequence number that the engine must have, and models
+// is what the engine held at that sequence. So the engine refuses an order
+// that was decided on outdated state or that arrives seconds late, and its
+// memory is never overcommitted.
+type trackedEngine struct {
+	// origin is the target as it was when the record was created. Orders are
+	// addressed to it, and it does not change.
 	origin inventory.Target
-	// target is the newest row of the list.
+	// target is the newest row of the target list.
 	target inventory.Target
-	// process is when the process started that sequence and held are of; zero
-	// means the target's on the list.
-	process int64
-	// known says that sequence and held are the engine's.
-	known    bool
+	// born identifies the process that sequence and models belong to. Zero
+	// means the process on the target list.
+	born int64
+	// synced is true when sequence and models match the engine.
+	synced   bool
 	sequence uint64
-	held     map[string]*residence
-	// atHand are the models whose weights are not in the weight store only.
-	atHand  map[string]target.Tier
-	weights weights
-	// working says that a goroutine sends orders or asks for a report.
-	working bool
-	// reported is when an engine first reported reportedSequence, its newest.
-	reported         time.Time
+	models   map[string]*trackedModel
+	// localTiers are the models with copies outside the weight store, with the
+	// fastest tier of each.
+	localTiers map[string]target.Tier
+	copies     localCopies
+	// inFlight is true while a goroutine sends orders or requests a report.
+	inFlight bool
+	// reportedAt is when the engine first reported reportedSequence, its
+	// newest.
+	reportedAt       time.Time
 	reportedSequence uint64
-	// down says that neither an entry nor this holder reaches the engine, and
-	// suspected is when an entry last did not.
-	down      bool
-	suspected time.Time
-	// doubted is when an entry last found something missing.
-	doubted time.Time
-	// busySince is since when the engine says that it has an order in hand of
-	// which this holder does not know the end; zero means that it does not.
+	// down is true when neither an entry nor this holder reaches the engine.
+	// suspectedAt is when an entry last failed to reach it.
+	down        bool
+	suspectedAt time.Time
+	// doubtedAt is when an entry last found a model missing, or when the
+	// engine was last asked for a report.
+	doubtedAt time.Time
+	// busySince is the time since which the engine has reported that it is
+	// carrying out an order whose end this holder cannot predict. Zero means
+	// that it is not.
 	busySince time.Time
-	// loading is until when the last model load is expected to last.
-	loading time.Time
-	// ordering is a model whose load was decided and not accepted, as far as is
-	// known, and takes for how long it lasts then.
-	ordering string
-	takes    time.Duration
-	// storeLoad is the model of a load from the weight store that was decided and
-	// has not ended yet, as far as is known, or empty. It is set before the load's
-	// orders are sent: rounds follow each other faster than engines accept, and
-	// each would begin as many loads as the store feeds at full speed.
+	// loadEnds is when the last model load is expected to end.
+	loadEnds time.Time
+	// unacceptedLoad is a model whose load was decided and, as far as is
+	// known, not yet accepted. loadTime is the duration of that load once it
+	// is accepted.
+	unacceptedLoad string
+	loadTime       time.Duration
+	// storeLoad is the model of a load from the weight store that was decided
+	// and, as far as is known, has not ended, or empty. It is set before the
+	// load's orders are sent: rounds follow each other faster than engines
+	// accept orders, and each would start as many loads as the store serves at
+	// full speed.
 	storeLoad string
-	// loadBegan is when that load's order was accepted.
-	loadBegan time.Time
+	// loadStarted is when that load's order was accepted.
+	loadStarted time.Time
 }
 
-// residence is a model on an engine.
-type residence struct {
+// trackedModel is a model on an engine.
+type trackedModel struct {
 	ready    time.Time
 	used     time.Time
-	adapters map[string]*placed
+	adapters map[string]*trackedAdapter
 }
 
-// placed is an adapter on an engine.
-type placed struct {
+// trackedAdapter is an adapter on an engine.
+type trackedAdapter struct {
 	ready time.Time
 	used  time.Time
 }
 
-// sync takes in what the list of targets says. The caller holds the lock.
+// sync applies the target list. The caller holds the lock.
 func (h *Holder) sync(now time.Time) {
 	targets := h.cfg.Targets()
 
-	h.drop(targets, now)
+	h.removeUnlisted(targets, now)
 
 	routes := h.cfg.Routes()
 
@@ -91,84 +97,85 @@
 			continue
 		}
 
-		s := h.stations[id]
-		if s == nil || s.target.Born != t.Born && s.process != t.Born || s.target.Address != t.Address {
-			s = &station{origin: t, target: t, held: make(map[string]*residence)}
-			s.takeAtHand(t, now)
-			h.stations[id] = s
+		eng := h.engines[id]
+		if eng == nil || eng.target.Born != t.Born && eng.born != t.Born || eng.target.Address != t.Address {
+			eng = &trackedEngine{origin: t, target: t, models: make(map[string]*trackedModel)}
+			eng.updateCopies(t, now)
+			h.engines[id] = eng
 			h.published = false
-			// A new process has lost the load that the former one had in hand.
-			h.feed(t.Service).drop(id, now)
+			// The new process does not continue the load of the former one.
+			h.storeCapacity(t.Service).remove(id, now)
 		}
 
-		if s.target.Version != t.Version {
-			if t.Leaving && !s.target.Leaving {
-				h.noteLeft(t.Service, now)
+		if eng.target.Version != t.Version {
+			if t.Leaving && !eng.target.Leaving {
+				h.recordDeparture(t.Service, now)
 			}
 
-			s.target = t
-			h.feed(t.Service).see(t, now)
-			s.takeAtHand(t, now)
-			s.compare(t, now)
+			eng.target = t
+			h.storeCapacity(t.Service).observe(t, now)
+			eng.updateCopies(t, now)
+			eng.compareRow(t, now)
 		}
 
-		s.postpone(now)
+		eng.postponeLoad(now)
 	}
 }
 
-// drop forgets the targets that the list no longer has.
-func (h *Holder) drop(targets map[instance.ID]inventory.Target, now time.Time) {
-	for id, s := range h.stations {
+// removeUnlisted deletes the engines that are not on the target list.
+func (h *Holder) removeUnlisted(targets map[instance.ID]inventory.Target, now time.Time) {
+	for id, eng := range h.engines {
 		if _, listed := targets[id]; listed {
 			continue
 		}
 
-		if !s.target.Leaving {
-			h.noteLeft(s.target.Service, now)
+		if !eng.target.Leaving {
+			h.recordDeparture(eng.target.Service, now)
 		}
 
-		h.feed(s.target.Service).drop(id, now)
-		delete(h.stations, id)
+		h.storeCapacity(eng.target.Service).remove(id, now)
+		delete(h.engines, id)
 		h.published = false
 	}
 
-	for _, f := range h.feeds {
-		f.overdue(now)
+	for _, c := range h.storeCapacities {
+		c.checkOverdue(now)
 	}
 }
 
-// feed returns what is known of the weight store's loads for a service.
-func (h *Holder) feed(service string) *feed {
-	if h.feeds == nil {
-		h.feeds = make(map[string]*feed)
+// storeCapacity returns the estimate of the weight store's capacity for a
+// service.
+func (h *Holder) storeCapacity(service string) *storeCapacity {
+	if h.storeCapacities == nil {
+		h.storeCapacities = make(map[string]*storeCapacity)
 	}
 
-	if h.feeds[service] == nil {
-		h.feeds[service] = &feed{}
+	if h.storeCapacities[service] == nil {
+		h.storeCapacities[service] = &storeCapacity{}
 	}
 
-	return h.feeds[service]
+	return h.storeCapacities[service]
 }
 
-// noteLeft records that a target of the service leaves, or has gone.
-func (h *Holder) noteLeft(service string, now time.Time) {
-	if h.turnovers == nil {
-		h.turnovers = make(map[string]*turnover)
+// recordDeparture records that a target of the service is leaving or gone.
+func (h *Holder) recordDeparture(service string, now time.Time) {
+	if h.churns == nil {
+		h.churns = make(map[string]*churn)
 	}
 
-	if h.turnovers[service] == nil {
-		h.turnovers[service] = &turnover{}
+	if h.churns[service] == nil {
+		h.churns[service] = &churn{}
 	}
 
-	h.turnovers[service].note(now)
+	h.churns[service].record(now)
 }
 
-// risk returns how likely a target of the service is gone before a copy of
-// what it holds is had elsewhere.
+// risk returns the probability that a target of the service is gone before its
+// models have been loaded elsewhere.
 func (h *Holder) risk(service string, v *swap.View) float64 {
-	t := h.turnovers[service]
-	if t == nil {
-		return crashRisk
+	c := h.churns[service]
+	if c == nil {
+		return minRisk
 	}
 
 	serving := 0
@@ -179,12 +186,12 @@
 		}
 	}
 
-	return t.risk(serving, copyLoads*slowestLoad(v.Engine), v.Now)
+	return c.risk(serving, replicaLoads*slowestLoad(v.Engine), v.Now)
 }
 
-// copyLoads is how many loads from the weight store it takes until a copy of
-// a model is had elsewhere, since others are before it.
-const copyLoads = 3
+// replicaLoads is the number of consecutive loads from the weight store until a
+// replica of a model is ready elsewhere, since other loads come first.
+const replicaLoads = 3
 
 func slowestLoad(e *route.Engine) time.Duration {
 	slowest := time.Duration(0)
@@ -195,19 +202,20 @@
 	return slowest
 }
 
-// takeAtHand learns from where the engine would load models.
-func (s *station) takeAtHand(t inventory.Target, now time.Time) {
-	s.weights.list(t, now)
-	s.atHand = s.weights.tiers()
+// updateCopies updates the tiers from which the engine would load models.
+func (eng *trackedEngine) updateCopies(t inventory.Target, now time.Time) {
+	eng.copies.applyRow(t, now)
+	eng.localTiers = eng.copies.tiers()
 }
 
-// rowLag is how long after a load is expected to end the list must show it.
-const rowLag = 1500 * time.Millisecond
+// listLag is the time after the expected end of a load by which the target
+// list must show it.
+const listLag = 1500 * time.Millisecond
 
-// compare doubts the station when a new row of the list shows other models
-// than are expected to be loaded by now.
-func (s *station) compare(t inventory.Target, now time.Time) {
-	if !s.known || s.working || now.Before(s.loading.Add(rowLag)) {
+// compareRow marks the engine as not synced when a new row of the target list
+// shows other models than those that should be loaded by now.
+func (eng *trackedEngine) compareRow(t inventory.Target, now time.Time) {
+	if !eng.synced || eng.inFlight || now.Before(eng.loadEnds.Add(listLag)) {
 		return
 	}
 
@@ -216,76 +224,77 @@
 		listed = append(listed, held.Model)
 	}
 
-	if len(listed) != len(s.held) || slices.ContainsFunc(listed, func(m string) bool { return s.held[m] == nil }) {
-		s.known = false
+	if len(listed) != len(eng.models) || slices.ContainsFunc(listed, func(m string) bool { return eng.models[m] == nil }) {
+		eng.synced = false
 	}
 }
 
-// take replaces what is known by the engine's own report.
-func (s *station) take(r Report, now time.Time) {
-	held := make(map[string]*residence, len(r.Held))
+// applyReport replaces the record by the engine's own report.
+func (eng *trackedEngine) applyReport(r Report, now time.Time) {
+	models := make(map[string]*trackedModel, len(r.Held))
 
 	for _, m := range r.Held {
-		old := s.held[m.Model]
+		old := eng.models[m.Model]
 		if old == nil {
-			old = &residence{}
+			old = &trackedModel{}
 		}
 
-		res := &residence{used: old.used, adapters: make(map[string]*placed, len(m.Adapters))}
+		resident := &trackedModel{used: old.used, adapters: make(map[string]*trackedAdapter, len(m.Adapters))}
 
 		for _, name := range m.Adapters {
-			res.adapters[name] = &placed{used: usedOf(old.adapters[name])}
+			resident.adapters[name] = &trackedAdapter{used: lastUse(old.adapters[name])}
 		}
 
-		held[m.Model] = res
+		models[m.Model] = resident
 	}
 
-	for _, text := range r.Pending {
-		model, adapter, _ := strings.Cut(text, "/")
+	for _, pending := range r.Pending {
+		model, adapter, _ := strings.Cut(pending, "/")
 		adapter, _, _ = strings.Cut(adapter, "@")
 
-		if res := held[model]; res != nil {
-			res.adapters[adapter] = &placed{ready: now.Add(adapterTime)}
+		if resident := models[model]; resident != nil {
+			resident.adapters[adapter] = &trackedAdapter{ready: now.Add(adapterLoadTime)}
 		}
 	}
 
-	s.held, s.sequence, s.known, s.ordering = held, r.Sequence, !r.Busy, ""
+	eng.models, eng.sequence, eng.synced, eng.unacceptedLoad = models, r.Sequence, !r.Busy, ""
 
 	switch {
 	case !r.Busy:
-		s.busySince = time.Time{}
-	case s.busySince.IsZero():
-		s.busySince = now
+		eng.busySince = time.Time{}
+	case eng.busySince.IsZero():
+		eng.busySince = now
 	}
 }
 
-// restarted takes in that a report is of another process than what is known,
-// which holds and counts nothing of before. It reports whether it is.
+// resetIfRestarted clears the record when a report comes from another process
+// than the recorded one, which holds none of the models and counts orders from
+// zero. It reports whether it did.
 //
-// It guards against an engine that starts again under its id: its reports count
-// from zero and look older than the last order, so that entries would send to
-// what it held until the list shows the new process.
-func (s *station) restarted(r Report) bool {
-	known := s.process
+// An engine that restarts under the same id sends reports that look older than
+// the last order. Without the reset, entries would send requests for the
+// former models until the target list shows the new process.
+func (eng *trackedEngine) resetIfRestarted(r Report) bool {
+	known := eng.born
 	if known == 0 {
-		known = s.target.Born
+		known = eng.target.Born
 	}
 
 	if r.Born == 0 || known == 0 || r.Born == known {
 		return false
 	}
 
-	s.process, s.sequence = r.Born, 0
-	s.reported, s.loading, s.busySince = time.Time{}, time.Time{}, time.Time{}
-	s.held, s.ordering = make(map[string]*residence), ""
-	s.known = false
-	s.weights.memory = nil
-	s.atHand = s.weights.tiers()
+	eng.born, eng.sequence = r.Born, 0
+	eng.reportedAt, eng.loadEnds, eng.busySince = time.Time{}, time.Time{}, time.Time{}
+	eng.models, eng.unacceptedLoad = make(map[string]*trackedModel), ""
+	eng.synced = false
+	eng.copies.memory = nil
+	eng.localTiers = eng.copies.tiers()
 
 	return true
 }
 
-func usedOf(p *placed) time.Time {
+func lastUse(p *trackedAdapter) time.Time {
 	if p == nil {
 		return time.Time{}
 	}
@@ -293,99 +302,101 @@
 	return p.used
 }
 
-// adopt starts a tenure with what the former holder last said. Orders name
-// the sequence, so what is wrong of it is refused by the engines.
-func (h *Holder) adopt() {
-	h.stations = make(map[instance.ID]*station)
+// adoptSnapshot starts a lease term with the former holder's last snapshot.
+// Orders name the sequence, so engines refuse those that rest on outdated
+// state.
+func (h *Holder) adoptSnapshot() {
+	h.engines = make(map[instance.ID]*trackedEngine)
 	now := clock.Now()
 
-	for _, f := range h.feeds {
-		f.loads = nil
+	for _, c := range h.storeCapacities {
+		c.loads = nil
 	}
 
 	h.sync(now)
 
-	for _, n := range h.last.Stations {
-		s := h.stations[n.Target]
-		if s == nil || s.target.Born != n.Born {
+	for _, state := range h.snapshot.Stations {
+		eng := h.engines[state.Target]
+		if eng == nil || eng.target.Born != state.Born {
 			continue
 		}
 
-		for _, held := range n.Held {
-			res := &residence{ready: held.Ready, adapters: make(map[string]*placed, len(held.Adapters))}
+		for _, held := range state.Held {
+			resident := &trackedModel{ready: held.Ready, adapters: make(map[string]*trackedAdapter, len(held.Adapters))}
 			for _, a := range held.Adapters {
-				res.adapters[a.Name] = &placed{ready: a.Ready}
+				resident.adapters[a.Name] = &trackedAdapter{ready: a.Ready}
 			}
 
-			s.held[held.Model] = res
-			// Its load may be in hand yet.
-			s.loading = clock.Later(s.loading, held.Ready)
+			eng.models[held.Model] = resident
+			// The load may still be in progress.
+			eng.loadEnds = clock.Later(eng.loadEnds, held.Ready)
 		}
 
-		s.sequence = n.Sequence
+		eng.sequence = state.Sequence
 	}
 }
 
-// doubt notes that an entry was told that a target does not hold a key. A
-// load that ends a little later than foretold is no reason to ask.
+// doubt records that a target did not hold a key for an entry. A load that
+// ends up to loadGrace later than predicted is no reason to request a report.
 func (h *Holder) doubt(m Missing) {
-	s := h.stations[m.Target]
-	if s == nil || s.working {
+	eng := h.engines[m.Target]
+	if eng == nil || eng.inFlight {
 		return
 	}
 
 	now := clock.Now()
-	if now.Before(s.loading.Add(lateLoad)) || now.Sub(s.doubted) < lateLoad {
+	if now.Before(eng.loadEnds.Add(loadGrace)) || now.Sub(eng.doubtedAt) < loadGrace {
 		return
 	}
 
-	s.doubted, s.known = now, false
+	eng.doubtedAt, eng.synced = now, false
 }
 
 // serves reports whether entries send requests to the engine.
-func (s *station) serves() bool { return !s.target.Leaving && !s.down }
+func (eng *trackedEngine) serves() bool { return !eng.target.Leaving && !eng.down }
 
-// suspect notes that an entry does not reach a target.
+// suspect records that an entry does not reach a target.
 //
-// It guards against targets that crashed and stand on the list for seconds yet:
-// their models would be loaded elsewhere only when they are gone from there. The
-// holder's own word alone does not count, nor that of its entry, since both may
-// be cut off.
+// A crashed target stays on the target list for seconds, and its models would
+// be loaded elsewhere only after it is removed. Failures that the holder's own
+// entry reports do not count, since that entry may be cut off together with
+// the holder.
 func (h *Holder) suspect(id, entry instance.ID) {
-	s := h.stations[id]
-	if s == nil || entry == h.cfg.Self {
+	eng := h.engines[id]
+	if eng == nil || entry == h.cfg.Self {
 		return
 	}
 
-	s.suspected = clock.Now()
-	s.known = false
+	eng.suspectedAt = clock.Now()
+	eng.synced = false
 }
 
-// suspicion is for how long an entry's word that it does not reach a target
-// counts.
-const suspicion = 3 * time.Second
+// suspicionTimeout is how long a report that a target is unreachable counts.
+const suspicionTimeout = 3 * time.Second
 
-// unreached judges a station that gave no report. The caller holds the lock.
-func (h *Holder) unreached(s *station, now time.Time) {
-	if s.down || now.Sub(s.suspected) > suspicion {
+// markDown marks an engine that gave no report as down if an entry recently
+// failed to reach it too. The caller holds the lock.
+func (h *Holder) markDown(eng *trackedEngine, now time.Time) {
+	if eng.down || now.Sub(eng.suspectedAt) > suspicionTimeout {
 		return
 	}
 
-	s.down, h.published = true, false
-	h.cfg.Log.Warn().Str("target", string(s.origin.ID)).Int("models", len(s.held)).Msg("target down")
+	eng.down, h.published = true, false
+	h.cfg.Log.Warn().Str("target", string(eng.origin.ID)).Int("models", len(eng.models)).Msg("target down")
 }
 
-// lateLoad is how much later than foretold a load may end before the engine
-// is asked what it holds.
-const lateLoad = 700 * time.Millisecond
+// loadGrace is how much later than predicted a load may end before the engine
+// is asked for a report.
+const loadGrace = 700 * time.Millisecond
 
-// leastLines is up to how many entries with requests in line are told as one
-// number.
-const leastLines = 8
+// minWaitingEntries is the smallest published number of waiting entries.
+// Differences below it are not worth a new snapshot.
+const minWaitingEntries = 8
 
-// roundLines rounds a number of entries up to a power of two.
-func roundLines(n int) int {
-	rounded := leastLines
+// roundWaitingEntries rounds n up to a power of two, at least
+// minWaitingEntries.
+func roundWaitingEntries(n int) int {
+	rounded := minWaitingEntries
 	for rounded < n {
 		rounded *= 2
 	}
@@ -393,57 +404,59 @@
 	return rounded
 }
 
-// ModelOf returns the key of an adapter's model, and any other key as it is.
+// ModelOf returns the key of an adapter's model, and any other key unchanged.
 func ModelOf(key string) string {
 	service, model, _ := splitKey(key)
 
 	return service + "/" + model
 }
 
-// news returns the whole state for the entries. The caller holds the lock.
-func (h *Holder) news() News {
+// buildSnapshot returns the state to publish to the entries. The caller holds
+// the lock.
+func (h *Holder) buildSnapshot() News {
 	h.number++
 
-	n := News{
-		Holder: h.cfg.Self, Process: h.cfg.Process, Token: h.held.Token, Number: h.number, LeaseVersion: h.held.Version,
+	snapshot := News{
+		Holder: h.cfg.Self, Process: h.cfg.Process, Token: h.lease.Token, Number: h.number, LeaseVersion: h.lease.Version,
 	}
 
 	running := h.usage().running
-	lines := h.asks.Lines(time.Now(), ModelOf)
+	waiting := h.demand.Lines(time.Now(), ModelOf)
 
-	for id, s := range h.stations {
-		st := Station{Target: id, Born: s.target.Born, Sequence: s.sequence, Running: running[id]}
+	for id, eng := range h.engines {
+		state := Station{Target: id, Born: eng.target.Born, Sequence: eng.sequence, Running: running[id]}
 
-		if s.down {
-			// Entries must not go by the list, on which it stands yet.
-			n.Stations = append(n.Stations, st)
+		if eng.down {
+			// Without an empty state entries would use the target list, which
+			// still has the models.
+			snapshot.Stations = append(snapshot.Stations, state)
 
 			continue
 		}
 
-		if !s.known && len(s.held) == 0 {
-			// Nothing is known yet, so entries go by the list.
+		if !eng.synced && len(eng.models) == 0 {
+			// The models are unknown yet, so entries use the target list.
 			continue
 		}
 
-		for model, res := range s.held {
-			held := Held{Model: model, Ready: res.ready}
-			for name, a := range res.adapters {
+		for model, resident := range eng.models {
+			held := Held{Model: model, Ready: resident.ready}
+			for name, a := range resident.adapters {
 				held.Adapters = append(held.Adapters, Adapter{Name: name, Ready: a.ready})
 			}
 
 			slices.SortFunc(held.Adapters, func(a, b Adapter) int { return cmp.Compare(a.Name, b.Name) })
-			st.Held = append(st.Held, held)
-			st.Lines = max(st.Lines, lines[s.target.Service+"/"+model])
+			state.Held = append(state.Held, held)
+			state.Lines = max(state.Lines, waiting[eng.target.Service+"/"+model])
 		}
 
-		st.Lines = roundLines(st.Lines)
+		state.Lines = roundWaitingEntries(state.Lines)
 
-		slices.SortFunc(st.Held, func(a, b Held) int { return cmp.Compare(a.Model, b.Model) })
-		n.Stations = append(n.Stations, st)
+		slices.SortFunc(state.Held, func(a, b Held) int { return cmp.Compare(a.Model, b.Model) })
+		snapshot.Stations = append(snapshot.Stations, state)
 	}
 
-	n.Waits = h.waits
+	snapshot.Waits = h.predictions
 
-	return n
+	return snapshot
 }
--- a/internal/placement/holder/tenure.go
+++ b/internal/placement/holder/tenure.go
@@ -16,27 +16,27 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/record"
 )
 
-// look reads the lease and takes it if it is free.
-func (h *Holder) look(ctx context.Context) {
-	times := 1 + h.group()
-	pause := lookEvery * time.Duration(times*times)
+// checkLease reads the lease and acquires it if it is free.
+func (h *Holder) checkLease(ctx context.Context) {
+	times := 1 + h.watchGroup()
+	pause := leaseCheckInterval * time.Duration(times*times)
 
 	h.mu.Lock()
-	h.retry = clock.Now().Add(pause)
+	h.nextLeaseCall = clock.Now().Add(pause)
 	h.mu.Unlock()
 
 	key := record.LeaseKey(cell)
 
 	rows, err := h.cfg.Table.Read(ctx, key)
 	if err != nil {
-		h.cfg.Log.Warn().Err(err).Msg("lease not read")
+		h.cfg.Log.Warn().Err(err).Msg("cannot read lease")
 
 		return
 	}
 
-	current, err := h.row().Decode(rows[0])
+	current, err := h.leaseRow().Decode(rows[0])
 	if err != nil {
-		h.cfg.Log.Error().Err(err).Msg("lease row cannot be read")
+		h.cfg.Log.Error().Err(err).Msg("cannot decode lease row")
 
 		return
 	}
@@ -45,11 +45,11 @@
 
 	h.mu.Lock()
 	h.watch.Observe(rows[0].Version, current, now)
-	free := h.watch.Free(now, h.cfg.Terms, h.cfg.Self, h.rank()) && now.Sub(h.started) >= settled
+	free := h.watch.Free(now, h.cfg.Terms, h.cfg.Self, h.rank()) && now.Sub(h.started) >= acquireDelay
 	h.mu.Unlock()
 
 	if free || current.Holder == h.cfg.Self && current.Process != h.cfg.Process {
-		h.take(ctx, current, rows[0].Version)
+		h.acquire(ctx, current, rows[0].Version)
 	}
 }
 
@@ -60,8 +60,9 @@
 	Strength float64
 }
 
-// ranked returns the candidates, best first: the strong before the weak, for
-// the holder speaks with all entries and decides for all engines.
+// ranked returns the candidates, best first. Strong instances come first,
+// because the holder exchanges messages with all entries and decides for all
+// engines.
 func ranked(all []Candidate) []instance.ID {
 	strength := make(map[instance.ID]float64, len(all))
 	ids := make([]instance.ID, len(all))
@@ -76,7 +77,7 @@
 	return ids
 }
 
-// rank returns this entry's place among the candidates.
+// rank returns this entry's rank among the candidates, counted from zero.
 func (h *Holder) rank() int {
 	rivals := h.cfg.Rivals
 	if rivals == nil {
@@ -88,72 +89,76 @@
 	return max(0, slices.Index(ranked(all), h.cfg.Self))
 }
 
-// group returns how many groups of watchers look at the lease before this
-// entry.
+// watchGroup returns the number of groups that check the lease before this
+// entry's group does.
 //
-// The looks of each group are so much further apart than those of the first
-// that all together look hardly twice as often, however many join: while the
-// store is away nobody can take the lease, and every call is one too many.
-func (h *Holder) group() int { return h.rank() / watchers }
+// The interval between checks grows with the square of the group's number, so
+// that all groups together check less than twice as often as the first alone,
+// however many entries there are. While the store is unavailable no entry can
+// acquire the lease, and each check only adds load.
+func (h *Holder) watchGroup() int { return h.rank() / groupSize }
 
-func (h *Holder) take(ctx context.Context, old lease.Record, version uint64) {
+func (h *Holder) acquire(ctx context.Context, former lease.Record, version uint64) {
 	next := lease.Record{
-		Cell: cell, Holder: h.cfg.Self, Process: h.cfg.Process, Token: old.Token + 1, WriteID: uuid.NewString(),
+		Cell: cell, Holder: h.cfg.Self, Process: h.cfg.Process, Token: former.Token + 1, WriteID: uuid.NewString(),
 	}
 	sent := clock.Now()
 
 	ctx, cancel := context.WithTimeout(ctx, h.cfg.Terms.Duration/2)
 	defer cancel()
 
-	version, err := h.row().Write(ctx, next, version)
+	version, err := h.leaseRow().Write(ctx, next, version)
 	if err != nil {
-		h.cfg.Log.Info().Err(err).Msg("lease not taken")
+		h.cfg.Log.Info().Err(err).Msg("cannot acquire lease")
 
 		return
 	}
 
 	h.mu.Lock()
-	h.held = lease.Held{Record: next, Version: version, Fence: version, Sent: sent}
-	h.mayOrder = h.firstOrder(old, sent)
-	h.stockBy = clock.Later(h.mayOrder, sent.Add(takeStock))
+	h.lease = lease.Held{Record: next, Version: version, Fence: version, Sent: sent}
+	h.ordersFrom = h.earliestOrder(former, sent)
+	h.inventoryBy = clock.Later(h.ordersFrom, sent.Add(inventoryWait))
 	h.number, h.published = 0, false
-	h.adopt()
-	mayOrder := h.mayOrder
+	h.adoptSnapshot()
+	ordersFrom := h.ordersFrom
 	h.mu.Unlock()
 
-	h.cfg.Log.Info().Uint64("token", next.Token).Str("former", string(old.Holder)).Bool("released", old.Released).
-		Dur("ordersIn", mayOrder.Sub(sent)).Msg("lease taken")
+	h.cfg.Log.Info().Uint64("token", next.Token).Str("former", string(former.Holder)).Bool("released", former.Released).
+		Dur("ordersIn", ordersFrom.Sub(sent)).Msg("lease taken")
 }
 
-// firstOrder returns from when on this holder may send orders. A former holder
-// that released the lease has none in hand; of any other the last may have
-// been sent right before its lease lapsed. A process that has just started may
-// follow one on the same instance that ordered a moment ago, with another
-// holder since; but where that one held the lease until now nobody else can have
-// ordered, and the instance's orders count as one holder's.
-func (h *Holder) firstOrder(old lease.Record, now time.Time) time.Time {
-	if old.Token != 0 && old.Holder == h.cfg.Self {
+// earliestOrder returns the time at which this holder may send its first
+// order.
+//
+// A former holder that released the lease has no orders in flight. Any other
+// may have sent its last order right before its lease expired. A process that
+// has just started may also follow one on the same instance that sent orders a
+// moment ago, with another holder in between. If that former process held the
+// lease until now, no other instance can have sent orders, and this holder
+// need not wait: orders of one instance count as orders of one holder.
+func (h *Holder) earliestOrder(former lease.Record, now time.Time) time.Time {
+	if former.Token != 0 && former.Holder == h.cfg.Self {
 		return now
 	}
 
 	first := h.started.Add(h.cfg.TurnPause)
-	if old.Token == 0 || old.Released {
+	if former.Token == 0 || former.Released {
 		return first
 	}
 
 	return clock.Later(first, now.Add(h.cfg.TurnPause-h.cfg.Terms.Duration+clockSlack))
 }
 
-// clockSlack covers what the clocks of two instances and the way of an order
-// may differ by.
+// clockSlack allows for the clock difference between two instances and the
+// time an order is in transit.
 const clockSlack = 400 * time.Millisecond
 
-// row is the row of the lease.
-func (h *Holder) row() leaserow.Row {
+// leaseRow returns the row of the lease in the store.
+func (h *Holder) leaseRow() leaserow.Row {
 	return leaserow.Row{Table: h.cfg.Table, Cell: cell, Process: h.cfg.Process}
 }
 
-// renewIfDue writes the lease again in the background of the decisions.
+// renewIfDue renews the lease in the background, while decisions go on.
 func (h *Holder) renewIfDue(ctx context.Context, held lease.Held) {
 	now := clock.Now()
 	if now.Before(held.Sent.Add(h.cfg.Terms.Renew)) {
@@ -161,14 +166,14 @@
 	}
 
 	h.mu.Lock()
-	again := now.Before(h.retry)
+	tooEarly := now.Before(h.nextLeaseCall)
 
-	if !again {
-		h.retry = now.Add(h.cfg.Terms.Renew / 2) //nolint:mnd // Two tries in the time of one renewal.
+	if !tooEarly {
+		h.nextLeaseCall = now.Add(h.cfg.Terms.Renew / 2) //nolint:mnd // Two attempts per renewal interval.
 	}
 	h.mu.Unlock()
 
-	if !again {
+	if !tooEarly {
 		go h.renew(ctx, held)
 	}
 }
@@ -181,31 +186,31 @@
 	ctx, cancel := context.WithTimeout(ctx, h.cfg.Terms.Renew)
 	defer cancel()
 
-	version, err := h.row().Write(ctx, next, held.Version)
+	version, err := h.leaseRow().Write(ctx, next, held.Version)
 
 	switch {
 	case err == nil:
-		h.renewed(next, version, sent)
+		h.recordRenewal(next, version, sent)
 	case table.IsConflict(err):
-		h.conflict(ctx, held)
+		h.resolveConflict(ctx, held)
 	default:
 		h.cfg.Log.Warn().Err(err).Uint64("token", held.Token).Dur("leaseAge", clock.Now().Sub(held.Sent)).Msg("lease not renewed")
 	}
 }
 
-func (h *Holder) renewed(next lease.Record, version uint64, sent time.Time) {
+func (h *Holder) recordRenewal(next lease.Record, version uint64, sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	if h.held.Token == next.Token && sent.After(h.held.Sent) {
-		h.held.Record, h.held.Version, h.held.Sent = next, version, sent
+	if h.lease.Token == next.Token && sent.After(h.lease.Sent) {
+		h.lease.Record, h.lease.Version, h.lease.Sent = next, version, sent
 	}
 }
 
-// conflict finds out whether the lease was lost, or whether an earlier renewal
-// took effect after its answer was given up.
-func (h *Holder) conflict(ctx context.Context, held lease.Held) {
-	version, own, err := h.row().Own(ctx, held.Token)
+// resolveConflict determines whether the lease was lost, or whether an earlier
+// renewal took effect after its call had timed out.
+func (h *Holder) resolveConflict(ctx context.Context, held lease.Held) {
+	version, own, err := h.leaseRow().Own(ctx, held.Token)
 	if err != nil {
 		return
 	}
@@ -213,35 +218,35 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	if h.held.Token != held.Token {
+	if h.lease.Token != held.Token {
 		return
 	}
 
 	if own {
-		h.held.Version = version
+		h.lease.Version = version
 
 		return
 	}
 
 	h.cfg.Log.Warn().Uint64("token", held.Token).Uint64("row", version).Msg("lease lost")
-	h.held = lease.Held{}
+	h.lease = lease.Held{}
 	h.watch = lease.Watch{}
 }
 
-// Release gives the lease up to another entry, once no order is in hand.
+// Release hands the lease over to another entry once no order is in flight.
 func (h *Holder) Release(ctx context.Context) {
 	h.mu.Lock()
 	h.draining = true
-	held := h.held
+	held := h.lease
 	h.mu.Unlock()
 
 	if held.Token == 0 {
 		return
 	}
 
-	// An order in hand must be settled before another entry sends its own.
+	// Orders in flight must be resolved before another entry sends its own.
 	if clock.Wait(ctx, &h.orders) != nil {
-		h.cfg.Log.Warn().Msg("lease not released, orders are in hand")
+		h.cfg.Log.Warn().Msg("lease not released, orders are in flight")
 
 		return
 	}
@@ -256,12 +261,12 @@
 	next.Successor = ranked(peers)[0]
 
 	h.mu.Lock()
-	version := h.held.Version
-	h.held = lease.Held{}
-	news := h.last
+	version := h.lease.Version
+	h.lease = lease.Held{}
+	snapshot := h.snapshot
 	h.mu.Unlock()
 
-	version, err := h.row().Release(ctx, next, version)
+	version, err := h.leaseRow().Release(ctx, next, version)
 	if err != nil {
 		h.cfg.Log.Warn().Err(err).Msg("lease not released")
 
@@ -270,7 +275,7 @@
 
 	h.cfg.Log.Info().Str("successor", string(next.Successor)).Msg("lease released")
 
-	news.Number++
-	news.Successor, news.LeaseVersion = next.Successor, version
-	h.cfg.Publish(news)
+	snapshot.Number++
+	snapshot.Successor, snapshot.LeaseVersion = next.Successor, version
+	h.cfg.Publish(snapshot)
 }
--- a/internal/placement/holder/weights.go
+++ b/internal/placement/holder/weights.go
@@ -9,12 +9,12 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/route"
 )
 
-// weights are the copies of models that an engine has beside what it serves.
-// The zero value has none.
-type weights struct {
+// localCopies are the copies of models' weights that an engine has on disk and
+// in host memory. The zero value has none.
+type localCopies struct {
 	disk map[string]bool
-	// memory has the copies in the engine's host memory, the one loaded longest
-	// ago first. It is what the list says, and what was loaded since.
+	// memory has the copies in the engine's host memory, oldest load first. It
+	// combines the target list with the loads since.
 	memory []memoryCopy
 }
 
@@ -25,65 +25,66 @@
 	ready time.Time
 }
 
-// list takes in a row of the list, which may be older than the last load.
-func (w *weights) list(t inventory.Target, now time.Time) {
-	w.disk = make(map[string]bool, len(t.OnDisk))
+// applyRow applies a row of the target list, which may predate the last load.
+func (lc *localCopies) applyRow(t inventory.Target, now time.Time) {
+	lc.disk = make(map[string]bool, len(t.OnDisk))
 	for _, model := range t.OnDisk {
-		w.disk[model] = true
+		lc.disk[model] = true
 	}
 
-	known := make(map[string]bool, len(w.memory))
-	w.memory = slices.DeleteFunc(w.memory, func(c memoryCopy) bool {
-		known[c.model] = true
+	recorded := make(map[string]bool, len(lc.memory))
+	lc.memory = slices.DeleteFunc(lc.memory, func(c memoryCopy) bool {
+		recorded[c.model] = true
 
-		return !slices.Contains(t.InMemory, c.model) && now.Sub(c.ready) > rowLag
+		return !slices.Contains(t.InMemory, c.model) && now.Sub(c.ready) > listLag
 	})
 
 	for _, model := range t.InMemory {
-		if !known[model] {
-			w.memory = slices.Insert(w.memory, 0, memoryCopy{model: model})
+		if !recorded[model] {
+			lc.memory = slices.Insert(lc.memory, 0, memoryCopy{model: model})
 		}
 	}
 }
 
-// load notes a load until the time given, which leaves copies on disk and in
-// memory, where the one that was loaded longest ago makes way.
+// recordLoad records a load that ends at ready. It leaves copies on disk and
+// in host memory, from which the copies loaded longest ago are evicted.
 //
-// It guards against loads that are foretold from memory when their copies have
-// made way since the last row: requests would be sent before the model is there.
-func (w *weights) load(model string, e *route.Engine, ready time.Time) {
-	if w.disk == nil {
-		w.disk = make(map[string]bool)
+// Without the eviction a load would be predicted to come from host memory
+// although its copy was evicted since the last row, and requests would be sent
+// before the model is loaded.
+func (lc *localCopies) recordLoad(model string, e *route.Engine, ready time.Time) {
+	if lc.disk == nil {
+		lc.disk = make(map[string]bool)
 	}
 
-	w.disk[model] = true
-	w.memory = slices.DeleteFunc(w.memory, func(c memoryCopy) bool { return c.model == model })
-	w.memory = append(w.memory, memoryCopy{model, ready})
+	lc.disk[model] = true
+	lc.memory = slices.DeleteFunc(lc.memory, func(c memoryCopy) bool { return c.model == model })
+	lc.memory = append(lc.memory, memoryCopy{model, ready})
 
 	if e.HostMB <= 0 {
 		return
 	}
 
 	sum := 0.0
-	for _, c := range w.memory {
+	for _, c := range lc.memory {
 		sum += e.Models[c.model].MB
 	}
 
-	for len(w.memory) > 1 && sum > e.HostMB {
-		sum -= e.Models[w.memory[0].model].MB
-		w.memory = w.memory[1:]
+	for len(lc.memory) > 1 && sum > e.HostMB {
+		sum -= e.Models[lc.memory[0].model].MB
+		lc.memory = lc.memory[1:]
 	}
 }
 
-// tiers returns from where models are loaded that are not in the weight store
-// only.
-func (w *weights) tiers() map[string]target.Tier {
-	out := make(map[string]target.Tier, len(w.disk)+len(w.memory))
-	for model := range w.disk {
+// tiers returns the fastest tier of each model that has a copy outside the
+// weight store.
+func (lc *localCopies) tiers() map[string]target.Tier {
+	out := make(map[string]target.Tier, len(lc.disk)+len(lc.memory))
+	for model := range lc.disk {
 		out[model] = target.TierDisk
 	}
 
-	for _, c := range w.memory {
+	for _, c := range lc.memory {
 		out[c.model] = target.TierMemory
 	}
 
--- a/internal/placement/holder/weights_test.go
+++ b/internal/placement/holder/weights_test.go
@@ -11,10 +11,10 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/route"
 )
 
-// TestMemoryCopiesMakeWay guards against loads that are foretold from host
-// memory when their copies have made way there: callers are sent to a model that
-// is not loaded yet.
-func TestMemoryCopiesMakeWay(t *testing.T) {
+// TestMemoryCopiesAreEvicted guards against loads that are predicted to come
+// from host memory after their copies were evicted: requests would be sent to
+// a model that is not loaded yet.
+func TestMemoryCopiesAreEvicted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := &route.Engine{HostMB: 25, Models: map[string]route.Model{}}
 
@@ -22,41 +22,41 @@
 		e.Models[name] = route.Model{Name: name, MB: 10}
 	}
 
-	var w weights
+	var copies localCopies
 
-	w.list(inventory.Target{OnDisk: []string{"a", "b", "c"}, InMemory: []string{"a"}}, now)
-	w.load("b", e, now)
-	assert.Equal(t, w.tiers()["a"], target.TierMemory)
+	copies.applyRow(inventory.Target{OnDisk: []string{"a", "b", "c"}, InMemory: []string{"a"}}, now)
+	copies.recordLoad("b", e, now)
+	assert.Equal(t, copies.tiers()["a"], target.TierMemory)
 
-	w.load("c", e, now.Add(time.Second))
-	assert.DeepEqual(t, w.tiers(), map[string]target.Tier{"a": target.TierDisk, "b": target.TierMemory, "c": target.TierMemory})
+	copies.recordLoad("c", e, now.Add(time.Second))
+	assert.DeepEqual(t, copies.tiers(), map[string]target.Tier{"a": target.TierDisk, "b": target.TierMemory, "c": target.TierMemory})
 
-	// A row from before the last load ended.
-	w.list(inventory.Target{OnDisk: []string{"a", "b"}, InMemory: []string{"a", "b"}}, now.Add(2*time.Second))
-	assert.Equal(t, w.tiers()["c"], target.TierMemory)
+	// This row predates the end of the last load.
+	copies.applyRow(inventory.Target{OnDisk: []string{"a", "b"}, InMemory: []string{"a", "b"}}, now.Add(2*time.Second))
+	assert.Equal(t, copies.tiers()["c"], target.TierMemory)
 
-	// What the list does not show later has made way.
-	w.list(inventory.Target{OnDisk: []string{"a", "c"}, InMemory: []string{"c"}}, now.Add(time.Minute))
-	assert.DeepEqual(t, w.tiers(), map[string]target.Tier{"a": target.TierDisk, "c": target.TierMemory})
+	// Copies that a later row does not show have been evicted.
+	copies.applyRow(inventory.Target{OnDisk: []string{"a", "c"}, InMemory: []string{"c"}}, now.Add(time.Minute))
+	assert.DeepEqual(t, copies.tiers(), map[string]target.Tier{"a": target.TierDisk, "c": target.TierMemory})
 }
 
-// TestBusyForLong guards against callers who wait for a target that is always
-// about to be free, because nobody knows how long its order lasts.
+// TestBusyForLong guards against requests that wait for a target predicted to
+// be free soon again and again, because the duration of its order is unknown.
 func TestBusyForLong(t *testing.T) {
 	now := time.Unix(1000, 0)
 
-	var s station
+	var s trackedEngine
 
-	s.take(Report{Busy: true}, now)
+	s.applyReport(Report{Busy: true}, now)
 
 	for _, after := range []time.Duration{0, time.Second, 20 * time.Second} {
-		v := s.view(now.Add(after), 0, nil)
+		v := s.planTarget(now.Add(after), 0, nil)
 		assert.Assert(t, !v.Free)
 		assert.Equal(t, v.FreeIn, max(orderTime, after))
 
-		s.take(Report{Busy: true}, now.Add(after))
+		s.applyReport(Report{Busy: true}, now.Add(after))
 	}
 
-	s.take(Report{}, now.Add(30*time.Second))
-	assert.Assert(t, s.view(now.Add(30*time.Second), 0, nil).Free)
+	s.applyReport(Report{}, now.Add(30*time.Second))
+	assert.Assert(t, s.planTarget(now.Add(30*time.Second), 0, nil).Free)
 }
--- a/internal/placement/holder/world_test.go
+++ b/internal/placement/holder/world_test.go
@@ -27,42 +27,42 @@
 	"github.com/fulmarcross/fulmarcross/internal/standin/worker"
 )
 
-var terms = lease.Terms{Duration: 2500 * time.Millisecond, Renew: 800 * time.Millisecond, Poll: 400 * time.Millisecond, Stagger: 200 * time.Millisecond}
+var timing = lease.Terms{Duration: 2500 * time.Millisecond, Renew: 800 * time.Millisecond, Poll: 400 * time.Millisecond, Stagger: 200 * time.Millisecond}
 
 const turnPause = 3 * time.Second
 
-// world has holders h0, h1, … before workers that hold two of eight models
-// each, on a table that can fail.
-type world struct {
+// cluster has holders h0, h1, … and workers that hold two of eight models
+// each, on a store that can fail.
+type cluster struct {
 	t       *testing.T
 	table   platform.Platform
 	routes  *route.Config
 	workers map[instance.ID]*worker.Worker
-	holders map[instance.ID]*member
+	holders map[instance.ID]*testHolder
 	cancel  context.CancelFunc
 
-	mu  sync.Mutex
-	cut map[instance.ID]bool
-	// dark is the engine that answers nothing.
-	dark instance.ID
-	// rows are the entries of the list as they were last written.
+	mu          sync.Mutex
+	partitioned map[instance.ID]bool
+	// unresponsive is the engine that answers no call.
+	unresponsive instance.ID
+	// rows are the rows of the target list as they were last written.
 	rows map[instance.ID]inventory.Target
 	// leaving are the workers that take no new work.
 	leaving map[instance.ID]bool
-	// born counts the workers' processes as they stand on the list, and processes
-	// those that say another in their reports.
+	// born identifies the workers' processes on the target list, and processes
+	// those that report another one.
 	born      int64
 	processes map[instance.ID]int64
-	// last is the newest news.
+	// last is the newest snapshot.
 	last holder.News
-	// held is how long the next publication is held up.
-	held time.Duration
-	// slow is how much longer than usual an order is on its way.
-	slow time.Duration
+	// publishDelay is how long the next publication blocks.
+	publishDelay time.Duration
+	// extraDelay is added to the transit time of orders.
+	extraDelay time.Duration
 }
 
-// member is one holder with what stops it.
-type member struct {
+// testHolder is a holder with what pauses and stops it.
+type testHolder struct {
 	*holder.Holder
 
 	gate pause.Gate
@@ -82,60 +82,60 @@
 	return e
 }
 
-func newWorld(t *testing.T, holders int) *world {
+func newCluster(t *testing.T, holders int) *cluster {
 	t.Helper()
 
-	return newWorldOf(t, holders, engine(), 3)
+	return newClusterOf(t, holders, engine(), 3)
 }
 
-func newWorldOf(t *testing.T, holders int, e *route.Engine, workers int) *world {
+func newClusterOf(t *testing.T, holders int, e *route.Engine, workers int) *cluster {
 	t.Helper()
 
-	w := &world{
-		t: t, workers: make(map[instance.ID]*worker.Worker), holders: make(map[instance.ID]*member), cut: make(map[instance.ID]bool),
+	cl := &cluster{
+		t: t, workers: make(map[instance.ID]*worker.Worker), holders: make(map[instance.ID]*testHolder), partitioned: make(map[instance.ID]bool),
 		rows: make(map[instance.ID]inventory.Target), leaving: make(map[instance.ID]bool), born: 1,
 		routes: &route.Config{Services: map[string]route.Service{"s": {Name: "s", Engine: e}}},
 	}
 
 	for i := range workers {
-		w.workers[instance.ID(fmt.Sprintf("w%d", i))] = &worker.Worker{
+		cl.workers[instance.ID(fmt.Sprintf("w%d", i))] = &worker.Worker{
 			Engine: e, Holding: []string{fmt.Sprintf("m%d", 2*i), fmt.Sprintf("m%d", 2*i+1)}, OnDisk: []string{"m6", "m7"},
 		}
 	}
 
 	ctx, cancel := context.WithCancel(t.Context())
-	w.cancel = cancel
+	cl.cancel = cancel
 
 	for i := range holders {
-		w.start(ctx, instance.ID(fmt.Sprintf("h%d", i)))
+		cl.start(ctx, instance.ID(fmt.Sprintf("h%d", i)))
 	}
 
-	return w
+	return cl
 }
 
-func (w *world) start(ctx context.Context, id instance.ID) { w.startAs(ctx, id, string(id)+"-1") }
+func (cl *cluster) start(ctx context.Context, id instance.ID) { cl.startAs(ctx, id, string(id)+"-1") }
 
-// startAs starts a holder as the process named.
-func (w *world) startAs(ctx context.Context, id instance.ID, process string) {
+// startAs starts a holder with the given process name.
+func (cl *cluster) startAs(ctx context.Context, id instance.ID, process string) {
 	ctx, stop := context.WithCancel(ctx)
-	m := &member{stop: stop}
+	m := &testHolder{stop: stop}
 	m.Holder = holder.New(holder.Config{
-		Self: id, Process: process, Table: gated{&w.table, &m.gate}, Engines: engines{w, &m.gate}, Terms: terms, TurnPause: turnPause,
-		Targets: w.targets, Routes: func() *route.Config { return w.routes }, Peers: func() []holder.Candidate { return w.candidates(id) },
-		Publish: func(n holder.News) { w.publish(id, n) }, Log: zerolog.Nop(),
+		Self: id, Process: process, Table: gatedTable{&cl.table, &m.gate}, Engines: gatedEngines{cl, &m.gate}, Terms: timing, TurnPause: turnPause,
+		Targets: cl.targets, Routes: func() *route.Config { return cl.routes }, Peers: func() []holder.Candidate { return cl.candidates(id) },
+		Publish: func(n holder.News) { cl.publish(id, n) }, Log: zerolog.Nop(),
 	})
 
-	w.mu.Lock()
-	w.holders[id] = m
-	w.mu.Unlock()
+	cl.mu.Lock()
+	cl.holders[id] = m
+	cl.mu.Unlock()
 
 	go m.Run(ctx)
 }
 
-// candidates returns the other holders, all of them as strong.
-func (w *world) candidates(self instance.ID) []holder.Candidate {
+// candidates returns the other holders, all of unknown strength.
+func (cl *cluster) candidates(self instance.ID) []holder.Candidate {
 	var out []holder.Candidate
-	for _, id := range w.peers(self) {
+	for _, id := range cl.peers(self) {
 		out = append(out, holder.Candidate{ID: id})
 	}
 
@@ -143,14 +143,14 @@
 }
 
 // peers returns the other holders.
-func (w *world) peers(self instance.ID) []instance.ID {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (cl *cluster) peers(self instance.ID) []instance.ID {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 
 	var out []instance.ID
 
-	for id := range w.holders {
-		if id != self && !w.cut[id] {
+	for id := range cl.holders {
+		if id != self && !cl.partitioned[id] {
 			out = append(out, id)
 		}
 	}
@@ -160,66 +160,66 @@
 	return out
 }
 
-func (w *world) publish(from instance.ID, n holder.News) {
-	w.mu.Lock()
-	silent := w.cut[from]
-	w.last = n
-	held := w.held
-	w.held = 0
-	w.mu.Unlock()
+func (cl *cluster) publish(from instance.ID, n holder.News) {
+	cl.mu.Lock()
+	partitioned := cl.partitioned[from]
+	cl.last = n
+	delay := cl.publishDelay
+	cl.publishDelay = 0
+	cl.mu.Unlock()
 
-	time.Sleep(held)
+	time.Sleep(delay)
 
-	if silent {
+	if partitioned {
 		return
 	}
 
-	for _, id := range w.peers(from) {
+	for _, id := range cl.peers(from) {
 		go func() {
-			w.mu.Lock()
-			m := w.holders[id]
-			w.mu.Unlock()
+			cl.mu.Lock()
+			m := cl.holders[id]
+			cl.mu.Unlock()
 
-			if m != nil && m.gate.Wait(w.t.Context()) == nil {
+			if m != nil && m.gate.Wait(cl.t.Context()) == nil {
 				m.Hear(n)
 			}
 		}()
 	}
 }
 
-// heard returns the newest news.
-func (w *world) heard() holder.News {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// latest returns the newest snapshot.
+func (cl *cluster) latest() holder.News {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 
-	return w.last
+	return cl.last
 }
 
-func (w *world) targets() map[instance.ID]inventory.Target {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (cl *cluster) targets() map[instance.ID]inventory.Target {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 
-	for id, one := range w.workers {
-		old := w.rows[id]
-		row := one.Describe(inventory.Target{ID: id, Service: "s", Slots: 8, Born: w.born, Leaving: w.leaving[id], Version: old.Version})
+	for id, one := range cl.workers {
+		old := cl.rows[id]
+		row := one.Describe(inventory.Target{ID: id, Service: "s", Slots: 8, Born: cl.born, Leaving: cl.leaving[id], Version: old.Version})
 
 		if !reflect.DeepEqual(row, old) {
 			row.Version++
-			w.rows[id] = row
+			cl.rows[id] = row
 		}
 	}
 
-	return maps.Clone(w.rows)
+	return maps.Clone(cl.rows)
 }
 
-// gated is a table behind a pause of its caller.
-type gated struct {
+// gatedTable is a store whose client can be paused.
+type gatedTable struct {
 	*platform.Platform
 
 	gate *pause.Gate
 }
 
-func (g gated) Read(ctx context.Context, keys ...string) ([]table.Row, error) {
+func (g gatedTable) Read(ctx context.Context, keys ...string) ([]table.Row, error) {
 	if err := g.gate.Wait(ctx); err != nil {
 		return nil, err
 	}
@@ -227,7 +227,7 @@
 	return g.Platform.Read(ctx, keys...)
 }
 
-func (g gated) Commit(ctx context.Context, tx table.Transaction) (uint64, error) {
+func (g gatedTable) Commit(ctx context.Context, tx table.Transaction) (uint64, error) {
 	if err := g.gate.Wait(ctx); err != nil {
 		return 0, err
 	}
@@ -235,120 +235,119 @@
 	return g.Platform.Commit(ctx, tx)
 }
 
-// engines are the workers behind a pause of their caller.
-type engines struct {
-	w    *world
+// gatedEngines are the workers, with a client that can be paused.
+type gatedEngines struct {
+	cl   *cluster
 	gate *pause.Gate
 }
 
-func (w *world) worker(id instance.ID) *worker.Worker {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (cl *cluster) worker(id instance.ID) *worker.Worker {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 
-	return w.workers[id]
+	return cl.workers[id]
 }
 
-// setDark makes an engine answer no call any more.
-func (w *world) setDark(id instance.ID) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// setUnresponsive makes an engine answer no call.
+func (cl *cluster) setUnresponsive(id instance.ID) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 
-	w.dark = id
+	cl.unresponsive = id
 }
 
-// setSlow makes all orders take longer on their way.
-func (w *world) setSlow(d time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// setOrderDelay makes all orders take longer in transit.
+func (cl *cluster) setOrderDelay(d time.Duration) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 
-	w.slow = d
+	cl.extraDelay = d
 }
 
-func (w *world) orderDelay() time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (cl *cluster) orderDelay() time.Duration {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 
-	return w.slow
+	return cl.extraDelay
 }
 
-func (w *world) isDark(id instance.ID) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (cl *cluster) isUnresponsive(id instance.ID) bool {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 
-	return w.dark == id
+	return cl.unresponsive == id
 }
 
-// way is how long a call to a worker takes.
-const way = 2 * time.Millisecond
+// callTime is the duration of a call to a worker.
+const callTime = 2 * time.Millisecond
 
-var errSilent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-func (e engines) Order(ctx context.Context, t inventory.Target, o holder.Order) (holder.Outcome, error) {
+func (e gatedEngines) Order(ctx context.Context, t inventory.Target, o holder.Order) (holder.Outcome, error) {
 	if err := e.gate.Wait(ctx); err != nil {
 		return holder.Rejected, err
 	}
 
-	if e.w.isDark(t.ID) {
+	if e.cl.isUnresponsive(t.ID) {
 		<-ctx.Done()
 
-		return holder.Rejected, errSilent
+		return holder.Rejected, errNoAnswer
 	}
 
-	time.Sleep(way + e.w.orderDelay())
+	time.Sleep(callTime + e.cl.orderDelay())
 
-	out, answered := e.w.worker(t.ID).Order(o)
+	out, answered := e.cl.worker(t.ID).Order(o)
 	if !answered {
 		<-ctx.Done()
 
-		return holder.Rejected, errSilent
+		return holder.Rejected, errNoAnswer
 	}
 
 	return out, nil
 }
 
-func (e engines) Report(ctx context.Context, t inventory.Target) (holder.Report, error) {
+func (e gatedEngines) Report(ctx context.Context, t inventory.Target) (holder.Report, error) {
 	if err := e.gate.Wait(ctx); err != nil {
 		return holder.Report{}, err
 	}
 
-	if e.w.isDark(t.ID) {
+	if e.cl.isUnresponsive(t.ID) {
 		<-ctx.Done()
 
-		return holder.Report{}, errSilent
+		return holder.Report{}, errNoAnswer
 	}
 
-	time.Sleep(way)
+	time.Sleep(callTime)
 
-	r := e.w.worker(t.ID).Report()
-	r.Born = e.w.process(t.ID)
+	r := e.cl.worker(t.ID).Report()
+	r.Born = e.cl.process(t.ID)
 
 	return r, nil
 }
 
-// ask reports to every holder that requests wait for models, until one takes
-// it.
-func (w *world) ask(models ...string) {
+// ask reports demand for models to the holders until one accepts the report.
+func (cl *cluster) ask(models ...string) {
 	r := demand.Report{Entry: "e"}
 	for _, model := range models {
 		r.Waiting = append(r.Waiting, replica.Demand{Model: "s/" + model, Waiting: 1, Deadline: time.Now().Add(10 * time.Second)})
 	}
 
-	for _, m := range w.holders {
+	for _, m := range cl.holders {
 		if m.Report(r, nil) == nil {
 			return
 		}
 	}
 }
 
-// served waits until some worker runs a request for the key, and asks for it
-// meanwhile as an entry does.
-func (w *world) served(key string, within time.Duration) bool {
+// awaitServed waits until some worker runs a request for the key, and reports
+// demand for it in the meantime, as an entry does.
+func (cl *cluster) awaitServed(key string, within time.Duration) bool {
 	name, adapter, _ := cutKey(key)
 
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		w.ask(key)
+		cl.ask(key)
 
-		for _, one := range w.workers {
+		for _, one := range cl.workers {
 			if one.Begin("r", name, adapter) {
 				one.End(name)
 
@@ -370,9 +369,9 @@
 	return key, "", false
 }
 
-// holding returns who holds the lease now.
-func (w *world) holding() instance.ID {
-	for id, m := range w.holders {
+// leaseHolder returns the holder of the lease, or an empty id.
+func (cl *cluster) leaseHolder() instance.ID {
+	for id, m := range cl.holders {
 		if m.Holding() {
 			return id
 		}
@@ -381,39 +380,39 @@
 	return ""
 }
 
-// finish checks what must hold in every story and ends the bubble's
-// goroutines. Only where the lease is given up in person may its next holder
-// order at once.
-func (w *world) finish() {
-	w.t.Helper()
+// finish checks the invariants of all tests and ends the bubble's goroutines.
+// Tests in which the lease is released use finishReleased, since the next
+// holder may then send orders at once.
+func (cl *cluster) finish() {
+	cl.t.Helper()
 
-	all := w.all()
-	assert.DeepEqual(w.t, worker.Changes(turnPause, all...), []string(nil))
-	w.finishReleased()
+	all := cl.all()
+	assert.DeepEqual(cl.t, worker.Changes(turnPause, all...), []string(nil))
+	cl.finishReleased()
 }
 
-func (w *world) all() []*worker.Worker {
-	all := make([]*worker.Worker, 0, len(w.workers))
-	for _, one := range w.workers {
+func (cl *cluster) all() []*worker.Worker {
+	all := make([]*worker.Worker, 0, len(cl.workers))
+	for _, one := range cl.workers {
 		all = append(all, one)
 	}
 
 	return all
 }
 
-func (w *world) finishReleased() {
-	w.t.Helper()
+func (cl *cluster) finishReleased() {
+	cl.t.Helper()
 
-	for _, one := range w.workers {
-		assert.DeepEqual(w.t, one.Broken(), []string(nil))
+	for _, one := range cl.workers {
+		assert.DeepEqual(cl.t, one.Broken(), []string(nil))
 	}
 
-	assert.DeepEqual(w.t, worker.Turns(turnPause, w.all()...), []string(nil))
+	assert.DeepEqual(cl.t, worker.Turns(turnPause, cl.all()...), []string(nil))
 
-	for _, m := range w.holders {
+	for _, m := range cl.holders {
 		m.gate.Open()
 	}
 
-	w.cancel()
+	cl.cancel()
 	time.Sleep(time.Minute)
 }
