--- a/internal/placement/holder/delta.go
+++ b/internal/placement/holder/delta.go
@@ -79,8 +79,8 @@
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-func (h Held) similar(o Held, now time.Time) bool {
-	return h.Model == o.Model && similarReady(h.Ready, o.Ready, now) && slices.EqualFunc(h.Adapters, o.Adapters, func(a, b Adapter) bool {
+func (m Held) similar(o Held, now time.Time) bool {
+	return m.Model == o.Model && similarReady(m.Ready, o.Ready, now) && slices.EqualFunc(m.Adapters, o.Adapters, func(a, b Adapter) bool {
 		return a.Name == b.Name && similarReady(a.Ready, b.Ready, now)
 	})
 }
--- a/internal/placement/holder/history.go
+++ b/internal/placement/holder/history.go
@@ -142,8 +142,8 @@
 	return old
 }
 
-// Merge returns the newest snapshot with a delta applied, to be recorded with
-// Hear. It returns false when the delta has another base.
+// Merge returns the newest snapshot with a delta applied, without recording
+// it. It returns false when the delta has another base.
 func (h *History) Merge(d Delta) (News, bool) {
 	out := d.News
 	if d.Base == (Edition{}) {
--- a/internal/placement/holder/holder.go
+++ b/internal/placement/holder/holder.go
@@ -41,7 +41,7 @@
 	Strength float64
 	// Peers returns the other entries that are alive.
 	Peers func() []Candidate
-	// Rivals returns the entries of Peers and those that may be alive. This
+	// Rivals returns the entries of Peers and others that may be alive. This
 	// entry's rank among them decides when it checks the lease. Nil means the
 	// same as Peers.
 	Rivals func() []Candidate
--- a/internal/placement/holder/leaseterm.go
+++ b/internal/placement/holder/leaseterm.go
@@ -79,12 +79,12 @@
 
 // rank returns this entry's rank among the candidates, counted from zero.
 func (h *Holder) rank() int {
-	rivals := h.cfg.Rivals
-	if rivals == nil {
-		rivals = h.cfg.Peers
+	others := h.cfg.Rivals
+	if others == nil {
+		others = h.cfg.Peers
 	}
 
-	all := append(rivals(), Candidate{ID: h.cfg.Self, Strength: h.cfg.Strength})
+	all := append(others(), Candidate{ID: h.cfg.Self, Strength: h.cfg.Strength})
 
 	return max(0, slices.Index(ranked(all), h.cfg.Self))
 }
