--- /dev/null
+++ b/internal/placement/holder/copies.go
@@ -0,0 +1,92 @@
+package holder
+
+import (
+	"slices"
+	"time"
+
+	"github.com/fulmarcross/fulmarcross/internal/fleet/inventory"
+	"github.com/fulmarcross/fulmarcross/internal/fleet/target"
+	"github.com/fulmarcross/fulmarcross/internal/serving/route"
+)
+
+// localCopies are the copies of models' weights that an engine has on disk and
+// in host memory. The zero value has none.
+type localCopies struct {
+	disk map[string]bool
+	// memory has the copies in the engine's host memory, oldest load first. It
+	// combines the target list with the loads since.
+	memory []memoryCopy
+}
+
+// memoryCopy is a copy in host memory.
+type memoryCopy struct {
+	model string
+	// ready is when its load ends; zero means that another holder ordered it.
+	ready time.Time
+}
+
+// applyRow applies a row of the target list, which may predate the last load.
+func (lc *localCopies) applyRow(t inventory.Target, now time.Time) {
+	lc.disk = make(map[string]bool, len(t.OnDisk))
+	for _, model := range t.OnDisk {
+		lc.disk[model] = true
+	}
+
+	recorded := make(map[string]bool, len(lc.memory))
+	lc.memory = slices.DeleteFunc(lc.memory, func(c memoryCopy) bool {
+		recorded[c.model] = true
+
+		return !slices.Contains(t.InMemory, c.model) && now.Sub(c.ready) > listLag
+	})
+
+	for _, model := range t.InMemory {
+		if !recorded[model] {
+			lc.memory = slices.Insert(lc.memory, 0, memoryCopy{model: model})
+		}
+	}
+}
+
+// recordLoad records a load that ends at ready. It leaves copies on disk and
+// in host memory, from which the copies loaded longest ago are evicted.
+//
+// Without the eviction a load would be predicted to come from host memory
+// although its copy was evicted since the last row, and requests would be sent
+// before the model is loaded.
+func (lc *localCopies) recordLoad(model string, e *route.Engine, ready time.Time) {
+	if lc.disk == nil {
+		lc.disk = make(map[string]bool)
+	}
+
+	lc.disk[model] = true
+	lc.memory = slices.DeleteFunc(lc.memory, func(c memoryCopy) bool { return c.model == model })
+	lc.memory = append(lc.memory, memoryCopy{model, ready})
+
+	if e.HostMB <= 0 {
+		return
+	}
+
+	sum := 0.0
+	for _, c := range lc.memory {
+		sum += e.Models[c.model].MB
+	}
+
+	for len(lc.memory) > 1 && sum > e.HostMB {
+		sum -= e.Models[lc.memory[0].model].MB
+		lc.memory = lc.memory[1:]
+	}
+}
+
+// tiers returns the fastest tier of each model that has a copy outside the
+// weight store.
+func (lc *localCopies) tiers() map[string]target.Tier {
+	out := make(map[string]target.Tier, len(lc.disk)+len(lc.memory))
+	for model := range lc.disk {
+		out[model] = target.TierDisk
+	}
+
+	for _, c := range lc.memory {
+		out[c.model] = target.TierMemory
+	}
+
+	return out
+}
--- /dev/null
+++ b/internal/placement/holder/copies_test.go
@@ -0,0 +1,62 @@
+package holder
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/fulmarcross/fulmarcross/internal/fleet/inventory"
+	"github.com/fulmarcross/fulmarcross/internal/fleet/target"
+	"github.com/fulmarcross/fulmarcross/internal/serving/route"
+)
+
+// TestMemoryCopiesAreEvicted guards against loads that are predicted to come
+// from host memory after their copies were evicted: requests would be sent to
+// a model that is not loaded yet.
+func TestMemoryCopiesAreEvicted(t *testing.T) {
+	now := time.Unix(1000, 0)
+	e := &route.Engine{HostMB: 25, Models: map[string]route.Model{}}
+
+	for _, name := range []string{"a", "b", "c"} {
+		e.Models[name] = route.Model{Name: name, MB: 10}
+	}
+
+	var copies localCopies
+
+	copies.applyRow(inventory.Target{OnDisk: []string{"a", "b", "c"}, InMemory: []string{"a"}}, now)
+	copies.recordLoad("b", e, now)
+	assert.Equal(t, copies.tiers()["a"], target.TierMemory)
+
+	copies.recordLoad("c", e, now.Add(time.Second))
+	assert.DeepEqual(t, copies.tiers(), map[string]target.Tier{"a": target.TierDisk, "b": target.TierMemory, "c": target.TierMemory})
+
+	// This row predates the end of the last load.
+	copies.applyRow(inventory.Target{OnDisk: []string{"a", "b"}, InMemory: []string{"a", "b"}}, now.Add(2*time.Second))
+	assert.Equal(t, copies.tiers()["c"], target.TierMemory)
+
+	// Copies that a later row does not show have been evicted.
+	copies.applyRow(inventory.Target{OnDisk: []string{"a", "c"}, InMemory: []string{"c"}}, now.Add(time.Minute))
+	assert.DeepEqual(t, copies.tiers(), map[string]target.Tier{"a": target.TierDisk, "c": target.TierMemory})
+}
+
+// TestBusyForLong guards against requests that wait for a target predicted to
+// be free soon again and again, because the duration of its order is unknown.
+func TestBusyForLong(t *testing.T) {
+	now := time.Unix(1000, 0)
+
+	var s trackedEngine
+
+	s.applyReport(Report{Busy: true}, now)
+
+	for _, after := range []time.Duration{0, time.Second, 20 * time.Second} {
+		v := s.planTarget(now.Add(after), 0, nil)
+		assert.Assert(t, !v.AcceptsOrders)
+		assert.Equal(t, v.OrderEndsIn, max(orderTime, after))
+
+		s.applyReport(Report{Busy: true}, now.Add(after))
+	}
+
+	s.applyReport(Report{}, now.Add(30*time.Second))
+	assert.Assert(t, s.planTarget(now.Add(30*time.Second), 0, nil).AcceptsOrders)
+}
--- /dev/null
+++ b/internal/placement/holder/engine.go
@@ -0,0 +1,462 @@
+package holder
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/fulmarcross/fulmarcross/internal/fleet/clock"
+	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
+	"github.com/fulmarcross/fulmarcross/internal/fleet/inventory"
+	"github.com/fulmarcross/fulmarcross/internal/fleet/target"
+	"github.com/fulmarcross/fulmarcross/internal/placement/swap"
+	"github.com/fulmarcross/fulmarcross/internal/serving/route"
+)
+
+// trackedEngine is the holder's record of one engine.
+//
+// Every order names the sequence number that the engine must have, and models
+// is what the engine held at that sequence. So the engine refuses an order
+// that was decided on outdated state or that arrives seconds late, and its
+// memory is never overcommitted.
+type trackedEngine struct {
+	// origin is the target as it was when the record was created. Orders are
+	// addressed to it, and it does not change.
+	origin inventory.Target
+	// target is the newest row of the target list.
+	target inventory.Target
+	// born identifies the process that sequence and models belong to. Zero
+	// means the process on the target list.
+	born int64
+	// synced is true when sequence and models match the engine.
+	synced   bool
+	sequence uint64
+	models   map[string]*trackedModel
+	// localTiers are the models with copies outside the weight store, with the
+	// fastest tier of each.
+	localTiers map[string]target.Tier
+	copies     localCopies
+	// inFlight is true while a goroutine sends orders or requests a report.
+	inFlight bool
+	// reportedAt is when the engine first reported reportedSequence, its
+	// newest.
+	reportedAt       time.Time
+	reportedSequence uint64
+	// down is true when neither an entry nor this holder reaches the engine.
+	// suspectedAt is when an entry last failed to reach it.
+	down        bool
+	suspectedAt time.Time
+	// doubtedAt is when an entry last found a model missing, or when the
+	// engine was last asked for a report.
+	doubtedAt time.Time
+	// busySince is the time since which the engine has reported that it is
+	// carrying out an order whose end this holder cannot predict. Zero means
+	// that it is not.
+	busySince time.Time
+	// loadEnds is when the last model load is expected to end.
+	loadEnds time.Time
+	// unacceptedLoad is a model whose load was decided and, as far as is
+	// known, not yet accepted. loadTime is the duration of that load once it
+	// is accepted.
+	unacceptedLoad string
+	loadTime       time.Duration
+	// storeLoad is the model of a load from the weight store that was decided
+	// and, as far as is known, has not ended, or empty. It is set before the
+	// load's orders are sent: rounds follow each other faster than engines
+	// accept orders, and each would start as many loads as the store serves at
+	// full speed.
+	storeLoad string
+	// loadStarted is when that load's order was accepted.
+	loadStarted time.Time
+}
+
+// trackedModel is a model on an engine.
+type trackedModel struct {
+	ready    time.Time
+	used     time.Time
+	adapters map[string]*trackedAdapter
+}
+
+// trackedAdapter is an adapter on an engine.
+type trackedAdapter struct {
+	ready time.Time
+	used  time.Time
+}
+
+// sync applies the target list. The caller holds the lock.
+func (h *Holder) sync(now time.Time) {
+	targets := h.cfg.Targets()
+
+	h.removeUnlisted(targets, now)
+
+	routes := h.cfg.Routes()
+
+	for id, t := range targets {
+		if routes == nil || routes.Services[t.Service].Engine == nil {
+			continue
+		}
+
+		eng := h.engines[id]
+		if eng == nil || eng.target.Born != t.Born && eng.born != t.Born || eng.target.Address != t.Address {
+			eng = &trackedEngine{origin: t, target: t, models: make(map[string]*trackedModel)}
+			eng.updateCopies(t, now)
+			h.engines[id] = eng
+			h.published = false
+			// The new process does not continue the load of the former one.
+			h.storeCapacity(t.Service).remove(id, now)
+		}
+
+		if eng.target.Version != t.Version {
+			if t.Leaving && !eng.target.Leaving {
+				h.recordDeparture(t.Service, now)
+			}
+
+			eng.target = t
+			h.storeCapacity(t.Service).observe(t, now)
+			eng.updateCopies(t, now)
+			eng.compareRow(t, now)
+		}
+
+		eng.postponeLoad(now)
+	}
+}
+
+// removeUnlisted deletes the engines that are not on the target list.
+func (h *Holder) removeUnlisted(targets map[instance.ID]inventory.Target, now time.Time) {
+	for id, eng := range h.engines {
+		if _, listed := targets[id]; listed {
+			continue
+		}
+
+		if !eng.target.Leaving {
+			h.recordDeparture(eng.target.Service, now)
+		}
+
+		h.storeCapacity(eng.target.Service).remove(id, now)
+		delete(h.engines, id)
+		h.published = false
+	}
+
+	for _, c := range h.storeCapacities {
+		c.checkOverdue(now)
+	}
+}
+
+// storeCapacity returns the estimate of the weight store's capacity for a
+// service.
+func (h *Holder) storeCapacity(service string) *storeCapacity {
+	if h.storeCapacities == nil {
+		h.storeCapacities = make(map[string]*storeCapacity)
+	}
+
+	if h.storeCapacities[service] == nil {
+		h.storeCapacities[service] = &storeCapacity{}
+	}
+
+	return h.storeCapacities[service]
+}
+
+// recordDeparture records that a target of the service is leaving or gone.
+func (h *Holder) recordDeparture(service string, now time.Time) {
+	if h.churns == nil {
+		h.churns = make(map[string]*churn)
+	}
+
+	if h.churns[service] == nil {
+		h.churns[service] = &churn{}
+	}
+
+	h.churns[service].record(now)
+}
+
+// risk returns the probability that a target of the service is gone before its
+// models have been loaded elsewhere.
+func (h *Holder) risk(service string, v *swap.Snapshot) float64 {
+	c := h.churns[service]
+	if c == nil {
+		return minRisk
+	}
+
+	serving := 0
+
+	for i := range v.Targets {
+		if v.Targets[i].Serving {
+			serving++
+		}
+	}
+
+	return c.risk(serving, replicaLoads*slowestLoad(v.Engine), v.Now)
+}
+
+// replicaLoads is the number of consecutive loads from the weight store until a
+// replica of a model is ready elsewhere, since other loads come first.
+const replicaLoads = 3
+
+func slowestLoad(e *route.Engine) time.Duration {
+	slowest := time.Duration(0)
+	for _, m := range e.Models {
+		slowest = max(slowest, m.FromStore)
+	}
+
+	return slowest
+}
+
+// updateCopies updates the tiers from which the engine would load models.
+func (eng *trackedEngine) updateCopies(t inventory.Target, now time.Time) {
+	eng.copies.applyRow(t, now)
+	eng.localTiers = eng.copies.tiers()
+}
+
+// listLag is the time after the expected end of a load by which the target
+// list must show it.
+const listLag = 1500 * time.Millisecond
+
+// compareRow marks the engine as not synced when a new row of the target list
+// shows other models than those that should be loaded by now.
+func (eng *trackedEngine) compareRow(t inventory.Target, now time.Time) {
+	if !eng.synced || eng.inFlight || now.Before(eng.loadEnds.Add(listLag)) {
+		return
+	}
+
+	listed := make([]string, 0, len(t.Held))
+	for _, held := range t.Held {
+		listed = append(listed, held.Model)
+	}
+
+	if len(listed) != len(eng.models) || slices.ContainsFunc(listed, func(m string) bool { return eng.models[m] == nil }) {
+		eng.synced = false
+	}
+}
+
+// applyReport replaces the record by the engine's own report.
+func (eng *trackedEngine) applyReport(r Report, now time.Time) {
+	models := make(map[string]*trackedModel, len(r.Held))
+
+	for _, m := range r.Held {
+		old := eng.models[m.Model]
+		if old == nil {
+			old = &trackedModel{}
+		}
+
+		resident := &trackedModel{used: old.used, adapters: make(map[string]*trackedAdapter, len(m.Adapters))}
+
+		for _, name := range m.Adapters {
+			resident.adapters[name] = &trackedAdapter{used: lastUse(old.adapters[name])}
+		}
+
+		models[m.Model] = resident
+	}
+
+	for _, pending := range r.Pending {
+		model, adapter, _ := strings.Cut(pending, "/")
+		adapter, _, _ = strings.Cut(adapter, "@")
+
+		if resident := models[model]; resident != nil {
+			resident.adapters[adapter] = &trackedAdapter{ready: now.Add(adapterLoadTime)}
+		}
+	}
+
+	eng.models, eng.sequence, eng.synced, eng.unacceptedLoad = models, r.Sequence, !r.Busy, ""
+
+	switch {
+	case !r.Busy:
+		eng.busySince = time.Time{}
+	case eng.busySince.IsZero():
+		eng.busySince = now
+	}
+}
+
+// resetIfRestarted clears the record when a report comes from another process
+// than the recorded one, which holds none of the models and counts orders from
+// zero. It reports whether it did.
+//
+// An engine that restarts under the same id sends reports that look older than
+// the last order. Without the reset, entries would send requests for the
+// former models until the target list shows the new process.
+func (eng *trackedEngine) resetIfRestarted(r Report) bool {
+	known := eng.born
+	if known == 0 {
+		known = eng.target.Born
+	}
+
+	if r.Born == 0 || known == 0 || r.Born == known {
+		return false
+	}
+
+	eng.born, eng.sequence = r.Born, 0
+	eng.reportedAt, eng.loadEnds, eng.busySince = time.Time{}, time.Time{}, time.Time{}
+	eng.models, eng.unacceptedLoad = make(map[string]*trackedModel), ""
+	eng.synced = false
+	eng.copies.memory = nil
+	eng.localTiers = eng.copies.tiers()
+
+	return true
+}
+
+func lastUse(p *trackedAdapter) time.Time {
+	if p == nil {
+		return time.Time{}
+	}
+
+	return p.used
+}
+
+// adoptSnapshot starts a lease term with the former holder's last snapshot.
+// Orders name the sequence, so engines refuse those that rest on outdated
+// state.
+func (h *Holder) adoptSnapshot() {
+	h.engines = make(map[instance.ID]*trackedEngine)
+	now := clock.Now()
+
+	for _, c := range h.storeCapacities {
+		c.loads = nil
+	}
+
+	h.sync(now)
+
+	for _, state := range h.snapshot.Stations {
+		eng := h.engines[state.Target]
+		if eng == nil || eng.target.Born != state.Born {
+			continue
+		}
+
+		for _, held := range state.Held {
+			resident := &trackedModel{ready: held.Ready, adapters: make(map[string]*trackedAdapter, len(held.Adapters))}
+			for _, a := range held.Adapters {
+				resident.adapters[a.Name] = &trackedAdapter{ready: a.Ready}
+			}
+
+			eng.models[held.Model] = resident
+			// The load may still be in progress.
+			eng.loadEnds = clock.Later(eng.loadEnds, held.Ready)
+		}
+
+		eng.sequence = state.Sequence
+	}
+}
+
+// doubt records that a target did not hold a key for an entry. A load that
+// ends up to loadGrace later than predicted is no reason to request a report.
+func (h *Holder) doubt(m Missing) {
+	eng := h.engines[m.Target]
+	if eng == nil || eng.inFlight {
+		return
+	}
+
+	now := clock.Now()
+	if now.Before(eng.loadEnds.Add(loadGrace)) || now.Sub(eng.doubtedAt) < loadGrace {
+		return
+	}
+
+	eng.doubtedAt, eng.synced = now, false
+}
+
+// serves reports whether entries send requests to the engine.
+func (eng *trackedEngine) serves() bool { return !eng.target.Leaving && !eng.down }
+
+// suspect records that an entry does not reach a target.
+//
+// A crashed target stays on the target list for seconds, and its models would
+// be loaded elsewhere only after it is removed. Failures that the holder's own
+// entry reports do not count, since that entry may be cut off together with
+// the holder.
+func (h *Holder) suspect(id, entry instance.ID) {
+	eng := h.engines[id]
+	if eng == nil || entry == h.cfg.Self {
+		return
+	}
+
+	eng.suspectedAt = clock.Now()
+	eng.synced = false
+}
+
+// suspicionTimeout is how long a report that a target is unreachable counts.
+const suspicionTimeout = 3 * time.Second
+
+// markDown marks an engine that gave no report as down if an entry recently
+// failed to reach it too. The caller holds the lock.
+func (h *Holder) markDown(eng *trackedEngine, now time.Time) {
+	if eng.down || now.Sub(eng.suspectedAt) > suspicionTimeout {
+		return
+	}
+
+	eng.down, h.published = true, false
+	h.cfg.Log.Warn().Str("target", string(eng.origin.ID)).Int("models", len(eng.models)).Msg("target down")
+}
+
+// loadGrace is how much later than predicted a load may end before the engine
+// is asked for a report.
+const loadGrace = 700 * time.Millisecond
+
+// minWaitingEntries is the smallest published number of waiting entries.
+// Differences below it are not worth a new snapshot.
+const minWaitingEntries = 8
+
+// roundWaitingEntries rounds n up to a power of two, at least
+// minWaitingEntries.
+func roundWaitingEntries(n int) int {
+	rounded := minWaitingEntries
+	for rounded < n {
+		rounded *= 2
+	}
+
+	return rounded
+}
+
+// ModelOf returns the key of an adapter's model, and any other key unchanged.
+func ModelOf(key string) string {
+	service, model, _ := splitKey(key)
+
+	return service + "/" + model
+}
+
+// buildSnapshot returns the state to publish to the entries. The caller holds
+// the lock.
+func (h *Holder) buildSnapshot() News {
+	h.number++
+
+	snapshot := News{
+		Holder: h.cfg.Self, Process: h.cfg.Process, Token: h.lease.Token, Number: h.number, LeaseVersion: h.lease.Version,
+	}
+
+	running := h.usage().running
+	waiting := h.demand.WaitingEntries(time.Now(), ModelOf)
+
+	for id, eng := range h.engines {
+		state := Station{Target: id, Born: eng.target.Born, Sequence: eng.sequence, Running: running[id]}
+
+		if eng.down {
+			// Without an empty state entries would use the target list, which
+			// still has the models.
+			snapshot.Stations = append(snapshot.Stations, state)
+
+			continue
+		}
+
+		if !eng.synced && len(eng.models) == 0 {
+			// The models are unknown yet, so entries use the target list.
+			continue
+		}
+
+		for model, resident := range eng.models {
+			held := Held{Model: model, Ready: resident.ready}
+			for name, a := range resident.adapters {
+				held.Adapters = append(held.Adapters, Adapter{Name: name, Ready: a.ready})
+			}
+
+			slices.SortFunc(held.Adapters, func(a, b Adapter) int { return cmp.Compare(a.Name, b.Name) })
+			state.Held = append(state.Held, held)
+			state.Lines = max(state.Lines, waiting[eng.target.Service+"/"+model])
+		}
+
+		state.Lines = roundWaitingEntries(state.Lines)
+
+		slices.SortFunc(state.Held, func(a, b Held) int { return cmp.Compare(a.Model, b.Model) })
+		snapshot.Stations = append(snapshot.Stations, state)
+	}
+
+	snapshot.Waits = h.predictions
+
+	return snapshot
+}
--- /dev/null
+++ b/internal/placement/holder/leaseterm.go
@@ -0,0 +1,281 @@
+package holder
+
+import (
+	"cmp"
+	"context"
+	"slices"
+	"time"
+
+	"github.com/google/uuid"
+
+	"github.com/fulmarcross/fulmarcross/internal/fleet/clock"
+	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
+	"github.com/fulmarcross/fulmarcross/internal/placement/lease"
+	"github.com/fulmarcross/fulmarcross/internal/placement/leaserow"
+	"github.com/fulmarcross/fulmarcross/internal/platform/table"
+	"github.com/fulmarcross/fulmarcross/internal/wire/record"
+)
+
+// checkLease reads the lease and acquires it if it is free.
+func (h *Holder) checkLease(ctx context.Context) {
+	times := 1 + h.watchGroup()
+	pause := leaseCheckInterval * time.Duration(times*times)
+
+	h.mu.Lock()
+	h.nextLeaseCall = clock.Now().Add(pause)
+	h.mu.Unlock()
+
+	key := record.LeaseKey(cell)
+
+	rows, err := h.cfg.Table.Read(ctx, key)
+	if err != nil {
+		h.cfg.Log.Warn().Err(err).Msg("cannot read lease")
+
+		return
+	}
+
+	current, err := h.leaseRow().Decode(rows[0])
+	if err != nil {
+		h.cfg.Log.Error().Err(err).Msg("cannot decode lease row")
+
+		return
+	}
+
+	now := clock.Now()
+
+	h.mu.Lock()
+	h.watch.Observe(rows[0].Version, current, now)
+	free := h.watch.Free(now, h.cfg.Terms, h.cfg.Self, h.rank()) && now.Sub(h.started) >= acquireDelay
+	h.mu.Unlock()
+
+	if free || current.Holder == h.cfg.Self && current.Process != h.cfg.Process {
+		h.acquire(ctx, current, rows[0].Version)
+	}
+}
+
+// Candidate is an entry that may hold the lease.
+type Candidate struct {
+	ID instance.ID
+	// Strength is the share of a processor that it has; zero means unknown.
+	Strength float64
+}
+
+// ranked returns the candidates, best first. Strong instances come first,
+// because the holder exchanges messages with all entries and decides for all
+// engines.
+func ranked(all []Candidate) []instance.ID {
+	strength := make(map[instance.ID]float64, len(all))
+	ids := make([]instance.ID, len(all))
+
+	for i, c := range all {
+		strength[c.ID], ids[i] = c.Strength, c.ID
+	}
+
+	ids = instance.Rank("holder", ids)
+	slices.SortStableFunc(ids, func(a, b instance.ID) int { return cmp.Compare(strength[b], strength[a]) })
+
+	return ids
+}
+
+// rank returns this entry's rank among the candidates, counted from zero.
+func (h *Holder) rank() int {
+	others := h.cfg.Rivals
+	if others == nil {
+		others = h.cfg.Peers
+	}
+
+	all := append(others(), Candidate{ID: h.cfg.Self, Strength: h.cfg.Strength})
+
+	return max(0, slices.Index(ranked(all), h.cfg.Self))
+}
+
+// watchGroup returns the number of groups that check the lease before this
+// entry's group does.
+//
+// The interval between checks grows with the square of the group's number, so
+// that all groups together check less than twice as often as the first alone,
+// however many entries there are. While the store is unavailable no entry can
+// acquire the lease, and each check only adds load.
+func (h *Holder) watchGroup() int { return h.rank() / groupSize }
+
+func (h *Holder) acquire(ctx context.Context, former lease.Record, version uint64) {
+	next := lease.Record{
+		Cell: cell, Holder: h.cfg.Self, Process: h.cfg.Process, Token: former.Token + 1, WriteID: uuid.NewString(),
+	}
+	sent := clock.Now()
+
+	ctx, cancel := context.WithTimeout(ctx, h.cfg.Terms.Duration/2)
+	defer cancel()
+
+	version, err := h.leaseRow().Write(ctx, next, version)
+	if err != nil {
+		h.cfg.Log.Info().Err(err).Msg("cannot acquire lease")
+
+		return
+	}
+
+	h.mu.Lock()
+	h.lease = lease.Holding{Record: next, Version: version, FenceVersion: version, RenewalSent: sent}
+	h.ordersFrom = h.earliestOrder(former, sent)
+	h.inventoryBy = clock.Later(h.ordersFrom, sent.Add(inventoryWait))
+	h.number, h.published = 0, false
+	h.adoptSnapshot()
+	ordersFrom := h.ordersFrom
+	h.mu.Unlock()
+
+	h.cfg.Log.Info().Uint64("token", next.Token).Str("former", string(former.Holder)).Bool("released", former.Released).
+		Dur("ordersIn", ordersFrom.Sub(sent)).Msg("lease taken")
+}
+
+// earliestOrder returns the time at which this holder may send its first
+// order.
+//
+// A former holder that released the lease has no orders in flight. Any other
+// may have sent its last order right before its lease expired. A process that
+// has just started may also follow one on the same instance that sent orders a
+// moment ago, with another holder in between. If that former process held the
+// lease until now, no other instance can have sent orders, and this holder
+// need not wait: orders of one instance count as orders of one holder.
+func (h *Holder) earliestOrder(former lease.Record, now time.Time) time.Time {
+	if former.Token != 0 && former.Holder == h.cfg.Self {
+		return now
+	}
+
+	first := h.started.Add(h.cfg.TurnPause)
+	if former.Token == 0 || former.Released {
+		return first
+	}
+
+	return clock.Later(first, now.Add(h.cfg.TurnPause-h.cfg.Terms.Duration+clockSlack))
+}
+
+// clockSlack allows for the clock difference between two instances and the
+// time an order is in transit.
+const clockSlack = 400 * time.Millisecond
+
+// leaseRow returns the row of the lease in the store.
+func (h *Holder) leaseRow() leaserow.Row {
+	return leaserow.Row{Table: h.cfg.Table, Cell: cell, Process: h.cfg.Process}
+}
+
+// renewIfDue renews the lease in the background, while decisions go on.
+func (h *Holder) renewIfDue(ctx context.Context, held lease.Holding) {
+	now := clock.Now()
+	if now.Before(held.RenewalSent.Add(h.cfg.Terms.Renew)) {
+		return
+	}
+
+	h.mu.Lock()
+	tooEarly := now.Before(h.nextLeaseCall)
+
+	if !tooEarly {
+		h.nextLeaseCall = now.Add(h.cfg.Terms.Renew / 2) //nolint:mnd // Two attempts per renewal interval.
+	}
+	h.mu.Unlock()
+
+	if !tooEarly {
+		go h.renew(ctx, held)
+	}
+}
+
+func (h *Holder) renew(ctx context.Context, held lease.Holding) {
+	next := held.Record
+	next.WriteID = uuid.NewString()
+	sent := clock.Now()
+
+	ctx, cancel := context.WithTimeout(ctx, h.cfg.Terms.Renew)
+	defer cancel()
+
+	version, err := h.leaseRow().Write(ctx, next, held.Version)
+
+	switch {
+	case err == nil:
+		h.recordRenewal(next, version, sent)
+	case table.IsConflict(err):
+		h.resolveConflict(ctx, held)
+	default:
+		h.cfg.Log.Warn().Err(err).Uint64("token", held.Token).Dur("leaseAge", clock.Now().Sub(held.RenewalSent)).Msg("lease not renewed")
+	}
+}
+
+func (h *Holder) recordRenewal(next lease.Record, version uint64, sent time.Time) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+
+	if h.lease.Token == next.Token && sent.After(h.lease.RenewalSent) {
+		h.lease.Record, h.lease.Version, h.lease.RenewalSent = next, version, sent
+	}
+}
+
+// resolveConflict determines whether the lease was lost, or whether an earlier
+// renewal took effect after its call had timed out.
+func (h *Holder) resolveConflict(ctx context.Context, held lease.Holding) {
+	version, own, err := h.leaseRow().CheckOwner(ctx, held.Token)
+	if err != nil {
+		return
+	}
+
+	h.mu.Lock()
+	defer h.mu.Unlock()
+
+	if h.lease.Token != held.Token {
+		return
+	}
+
+	if own {
+		h.lease.Version = version
+
+		return
+	}
+
+	h.cfg.Log.Warn().Uint64("token", held.Token).Uint64("row", version).Msg("lease lost")
+	h.lease = lease.Holding{}
+	h.watch = lease.Watch{}
+}
+
+// Release hands the lease over to another entry once no order is in flight.
+func (h *Holder) Release(ctx context.Context) {
+	h.mu.Lock()
+	h.draining = true
+	held := h.lease
+	h.mu.Unlock()
+
+	if held.Token == 0 {
+		return
+	}
+
+	// Orders in flight must be resolved before another entry sends its own.
+	if clock.Wait(ctx, &h.orders) != nil {
+		h.cfg.Log.Warn().Msg("lease not released, orders are in flight")
+
+		return
+	}
+
+	peers := h.cfg.Peers()
+	if len(peers) == 0 {
+		return
+	}
+
+	next := held.Record
+	next.Released, next.WriteID = true, uuid.NewString()
+	next.Successor = ranked(peers)[0]
+
+	h.mu.Lock()
+	version := h.lease.Version
+	h.lease = lease.Holding{}
+	snapshot := h.snapshot
+	h.mu.Unlock()
+
+	version, err := h.leaseRow().Release(ctx, next, version)
+	if err != nil {
+		h.cfg.Log.Warn().Err(err).Msg("lease not released")
+
+		return
+	}
+
+	h.cfg.Log.Info().Str("successor", string(next.Successor)).Msg("lease released")
+
+	snapshot.Number++
+	snapshot.Successor, snapshot.LeaseVersion = next.Successor, version
+	h.cfg.Publish(snapshot)
+}
--- /dev/null
+++ b/internal/placement/holder/snapshot.go
@@ -0,0 +1,141 @@
+package holder
+
+import (
+	"context"
+	"time"
+
+	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
+	"github.com/fulmarcross/fulmarcross/internal/fleet/inventory"
+)
+
+// News is the full state that the holder publishes to all entries: which
+// models are loaded where.
+type News struct {
+	Holder  instance.ID
+	Process string
+	// Token is the fencing token of the holder's lease. Number grows by one
+	// with each snapshot under the same token.
+	Token, Number uint64
+	// LeaseVersion is the version of the lease row, so that entries see
+	// renewals without reading the row.
+	LeaseVersion uint64
+	// Config is the version of the configuration that the holder has in force.
+	// List is the version of the target list at the last change of which
+	// targets may be used. Entries with older versions read the store at once;
+	// the others need not.
+	Config, List uint64
+	// StoreAge is how long ago the holder last read the store. Above a limit
+	// the other entries must read it themselves.
+	StoreAge time.Duration
+	// Successor is set when the holder has released the lease.
+	Successor instance.ID
+	Stations  []Station
+	// Waits are for the models that requests wait for and that can only be
+	// loaded later. The list is always complete, in a delta too.
+	Waits []Wait
+}
+
+// Wait predicts when a model becomes ready that is neither on a target nor
+// being loaded.
+type Wait struct {
+	Key   string
+	Ready time.Time
+	// Since is when the holder first made the prediction. It is not sent to
+	// other entries.
+	Since time.Time
+}
+
+// newer reports whether s was published later than o.
+func (s News) newer(o News) bool {
+	if s.Token != o.Token {
+		return s.Token > o.Token
+	}
+
+	return s.Number > o.Number
+}
+
+// Station is the state of one engine as the holder has recorded it.
+type Station struct {
+	Target instance.ID
+	// Born distinguishes successive processes of the target.
+	Born int64
+	// Sequence is the number of orders that the process has accepted.
+	Sequence uint64
+	// Running is the number of requests of all entries that run on the target.
+	Running int
+	// Lines is the largest number of entries that have requests queued for one
+	// of the engine's models, rounded up so that it rarely changes.
+	Lines int
+	Held  []Held
+}
+
+// Held is a model that is loaded on an engine, or will be at Ready.
+type Held struct {
+	Model    string
+	Ready    time.Time
+	Adapters []Adapter
+}
+
+// Adapter is an adapter that is loaded on an engine, or will be at Ready.
+type Adapter struct {
+	Name  string
+	Ready time.Time
+}
+
+// Missing reports that a target answered that it does not hold the model or
+// adapter Key, contrary to the snapshot. An empty Key means that the target
+// accepts no connection.
+type Missing struct {
+	Target instance.ID
+	Key    string
+}
+
+// Engines sends orders to engines and reads their reports.
+type Engines interface {
+	// Order sends an order. After an error the order is in doubt.
+	Order(ctx context.Context, t inventory.Target, o Order) (Outcome, error)
+	// Report returns the models that the engine held a short time ago.
+	Report(ctx context.Context, t inventory.Target) (Report, error)
+}
+
+// Order asks an engine to load or unload a model or an adapter.
+type Order struct {
+	Unload  bool
+	Model   string
+	Adapter string
+	// Sequence is the number of orders that the engine must have accepted
+	// before.
+	Sequence uint64
+	Holder   instance.ID
+	Token    uint64
+}
+
+// Outcome is an engine's answer to an order.
+type Outcome int
+
+// The outcomes of an order.
+const (
+	// Accepted means that the order is being carried out.
+	Accepted Outcome = iota
+	// Holds means that there was nothing to do, or that it is already done.
+	Holds
+	// Busy means that another order is being carried out or that the sequence
+	// differs.
+	Busy
+	// Rejected means that the order can never be carried out.
+	Rejected
+	// Elsewhere means that another instance answered.
+	Elsewhere
+)
+
+// Report is an engine's report of what it holds.
+type Report struct {
+	// Born distinguishes successive processes of the engine, as on the target
+	// list; zero means that the engine did not report it.
+	Born     int64
+	Busy     bool
+	Sequence uint64
+	Held     []inventory.Held
+	// Pending are adapters that are being loaded, as model/adapter.
+	Pending []string
+}
