--- a/internal/fleet/node/handler.go
+++ b/internal/fleet/node/handler.go
@@ -16,22 +16,22 @@
 func (n *Node) Greet(g news.Greeting) news.Greeting { return n.peers.answer(g) }
 
 // Hear implements news.Handler.
-func (n *Node) Hear(d holder.Delta) holder.Edition {
+func (n *Node) Hear(d holder.Delta) holder.Version {
 	n.mu.Lock()
-	latest, ok := n.history.Merge(d)
+	latest, ok := n.history.Apply(d)
 	n.mu.Unlock()
 
-	if ok && n.holder.Hear(latest) {
+	if ok && n.holder.Receive(latest) {
 		n.takeNews(latest)
 	}
 
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	return n.news.Edition()
+	return n.news.Version()
 }
 
-func (n *Node) takeNews(latest holder.News) {
+func (n *Node) takeNews(latest holder.Snapshot) {
 	n.mu.Lock()
 	if n.news.Token != latest.Token {
 		n.cfg.Log.Info().Str("holder", string(latest.Holder)).Uint64("token", latest.Token).Msg("holder heard")
@@ -39,15 +39,15 @@
 
 	n.heard = time.Now()
 	if latest.Holder == n.cfg.Self {
-		n.history.Tell(latest, n.heard)
+		n.history.Publish(latest, n.heard)
 	} else {
-		n.history.Hear(latest, n.heard)
+		n.history.Receive(latest, n.heard)
 		n.noteStore(latest.StoreAge, n.heard)
 	}
 
-	n.news = n.history.News()
+	n.news = n.history.Snapshot()
 
-	behind := n.list < latest.List
+	behind := n.list < latest.ListVersion
 	n.mu.Unlock()
 	poke(n.changed)
 
@@ -56,20 +56,20 @@
 		poke(n.listTold)
 	}
 
-	if c := n.config(); c == nil && latest.Config > 0 || c != nil && c.Version < latest.Config {
+	if c := n.config(); c == nil && latest.ConfigVersion > 0 || c != nil && c.Version < latest.ConfigVersion {
 		poke(n.configBehind)
 		poke(n.configTold)
 	}
 }
 
 // publish hands this holder's news to everybody.
-func (n *Node) publish(latest holder.News) {
+func (n *Node) publish(latest holder.Snapshot) {
 	if c := n.config(); c != nil {
-		latest.Config = c.Version
+		latest.ConfigVersion = c.Version
 	}
 
 	n.mu.Lock()
-	latest.List = n.usable
+	latest.ListVersion = n.usable
 	latest.StoreAge = time.Since(clock.Earlier(n.lookedConfig, n.lookedTargets))
 	n.mu.Unlock()
 
@@ -79,7 +79,7 @@
 
 // newsSince returns what is new to a peer that has these news, or of which that
 // is not known. It reports false unless the newest are this entry's own.
-func (n *Node) newsSince(has holder.Edition, known bool) (holder.Delta, bool) {
+func (n *Node) newsSince(has holder.Version, known bool) (holder.Delta, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
@@ -88,7 +88,7 @@
 	}
 
 	if !known {
-		has = n.history.Former()
+		has = n.history.PreviousVersion()
 	}
 
 	return n.history.Since(has), true
@@ -175,7 +175,7 @@
 		return
 	}
 
-	q := n.peers.of(n.holder.Known())
+	q := n.peers.of(n.holder.LastHolder())
 	if q == nil {
 		return
 	}
--- a/internal/fleet/node/learn.go
+++ b/internal/fleet/node/learn.go
@@ -109,7 +109,7 @@
 		}
 	}
 
-	n.askPeer(ctx, n.peers.of(n.holder.Known()), n.lacksConfig())
+	n.askPeer(ctx, n.peers.of(n.holder.LastHolder()), n.lacksConfig())
 
 	return n.inForce()
 }
@@ -167,7 +167,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	return n.list < n.news.List
+	return n.list < n.news.ListVersion
 }
 
 // lacksConfig returns what to tell an entry that is asked for a newer
@@ -196,7 +196,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	return c != nil && c.Version >= n.news.Config
+	return c != nil && c.Version >= n.news.ConfigVersion
 }
 
 func (n *Node) versions() news.Versions {
@@ -231,7 +231,7 @@
 // holderView returns what the holder has that is newer than what is said to be
 // had, and the way to it; nil means that it does not answer.
 func (n *Node) holderView(ctx context.Context, have news.Versions) (news.View, *peer) {
-	q := n.peers.of(n.holder.Known())
+	q := n.peers.of(n.holder.LastHolder())
 	if q == nil {
 		return news.View{}, nil
 	}
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -129,7 +129,7 @@
 	// known is a copy of the book's targets that nobody changes.
 	known map[instance.ID]inventory.Target
 	// news are the newest of history.
-	news    holder.News
+	news    holder.Snapshot
 	history holder.History
 	heard   time.Time
 	// lookedConfig and lookedTargets are up to when this entry knows what the
@@ -174,11 +174,11 @@
 		Table: n.routes.Load, RefreshTable: n.confirm, Limits: &n.quotas, OnModelAbsent: n.foundAbsent, OnAddressMoved: n.foundMoved, OnUnreachable: n.foundUnreached, Log: cfg.Log, Metrics: n.metrics,
 	}
 	n.holder = holder.New(holder.Config{
-		Self: cfg.Self, Strength: cfg.Strength, Process: n.process, Table: n.cfg.Table, Engines: cfg.Engines, Terms: terms, TurnPause: cfg.TurnPause,
+		Self: cfg.Self, Strength: cfg.Strength, Process: n.process, Table: n.cfg.Table, Engines: cfg.Engines, Timing: terms, TurnPause: cfg.TurnPause,
 		Targets: n.knownTargets, Routes: n.config,
-		Peers:   func() []holder.Candidate { return candidates(n.peers.alive()) },
-		Rivals:  func() []holder.Candidate { return candidates(n.peers.likely()) },
-		Publish: n.publish, Log: cfg.Log,
+		Peers:      func() []holder.Candidate { return candidates(n.peers.alive()) },
+		Candidates: func() []holder.Candidate { return candidates(n.peers.likely()) },
+		Publish:    n.publish, Log: cfg.Log,
 	})
 
 	return n
--- a/internal/fleet/node/peers.go
+++ b/internal/fleet/node/peers.go
@@ -396,7 +396,7 @@
 // a slow peer did not take are left out.
 func (p *peers) tell(ctx context.Context, q *peer) {
 	var (
-		has   holder.Edition
+		has   holder.Version
 		known bool
 	)
 
@@ -415,7 +415,7 @@
 		got, err := q.client.Hear(ctx, d)
 		if err != nil {
 			p.node.cfg.Log.Debug().Err(err).Str("peer", string(q.ID)).Msg("peer not told")
-		} else if has, known = got, true; got != d.Edition() && d.Base != (holder.Edition{}) {
+		} else if has, known = got, true; got != d.Version() && d.Base != (holder.Version{}) {
 			poke(q.kick)
 		}
 
--- a/internal/fleet/node/routing.go
+++ b/internal/fleet/node/routing.go
@@ -70,11 +70,11 @@
 	b.snapshot.Targets = make([]router.TargetInfo, 0, len(n.known))
 	n.routed.begin(&b.snapshot)
 
-	stations := make(map[instance.ID]*holder.Station, len(n.news.Stations))
+	stations := make(map[instance.ID]*holder.EngineState, len(n.news.Engines))
 
 	if now.Sub(n.heard) < newsLast {
-		for i := range n.news.Stations {
-			stations[n.news.Stations[i].Target] = &n.news.Stations[i]
+		for i := range n.news.Engines {
+			stations[n.news.Engines[i].Target] = &n.news.Engines[i]
 		}
 	}
 
@@ -91,7 +91,7 @@
 	}
 
 	if now.Sub(n.heard) < newsLast {
-		b.expect(n.news.Waits)
+		b.expect(n.news.Predictions)
 	}
 	n.mu.Unlock()
 	b.wait()
@@ -236,7 +236,7 @@
 	coming map[string]time.Time
 }
 
-func (b *builder) add(t inventory.Target, service route.Service, s *holder.Station) {
+func (b *builder) add(t inventory.Target, service route.Service, s *holder.EngineState) {
 	info := router.TargetInfo{
 		ID: t.ID, DataCentre: t.DataCentre, Address: t.Address, Speed: 1, Slots: t.Slots,
 		Leaving: t.Leaving, Incarnation: strconv.FormatInt(t.Born, 10), ReportAge: reportAge,
@@ -259,7 +259,7 @@
 
 	info.CountID = b.count
 	if s != nil {
-		info.Running, info.WaitingEntries = s.Running, s.Lines
+		info.Running, info.WaitingEntries = s.Running, s.WaitingEntries
 	}
 
 	b.snapshot.Targets = append(b.snapshot.Targets, info)
@@ -283,17 +283,17 @@
 
 // heldBy returns what a target holds: by the holder's news if there are any,
 // or else by the list.
-func heldBy(t inventory.Target, s *holder.Station) []holder.Held {
+func heldBy(t inventory.Target, s *holder.EngineState) []holder.ResidentModel {
 	if s != nil {
-		return s.Held
+		return s.Resident
 	}
 
-	out := make([]holder.Held, len(t.Held))
+	out := make([]holder.ResidentModel, len(t.Held))
 
 	for i, h := range t.Held {
 		out[i].Model = h.Model
 		for _, name := range h.Adapters {
-			out[i].Adapters = append(out[i].Adapters, holder.Adapter{Name: name})
+			out[i].Adapters = append(out[i].Adapters, holder.ResidentAdapter{Name: name})
 		}
 	}
 
@@ -324,7 +324,7 @@
 }
 
 // expect notes models that the holder foretells.
-func (b *builder) expect(waits []holder.Wait) {
+func (b *builder) expect(waits []holder.Prediction) {
 	for _, w := range waits {
 		if _, ok := b.coming[w.Key]; !ok && w.Ready.After(b.now) {
 			b.coming[w.Key] = w.Ready
--- a/internal/fleet/node/routing_test.go
+++ b/internal/fleet/node/routing_test.go
@@ -31,23 +31,23 @@
 	for i := range engines {
 		id := instance.ID(fmt.Sprintf("t%03d", i))
 		n.known[id] = inventory.Target{ID: id, Service: "s", Slots: 12, Born: 1, Address: netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(1+i))}
-		n.news.Stations = append(n.news.Stations, station(id, i))
+		n.news.Engines = append(n.news.Engines, station(id, i))
 	}
 
 	return n
 }
 
 // station holds four models of a few hundred, one of them with adapters.
-func station(id instance.ID, i int) holder.Station {
-	s := holder.Station{Target: id, Born: 1, Running: i % 7}
+func station(id instance.ID, i int) holder.EngineState {
+	s := holder.EngineState{Target: id, Born: 1, Running: i % 7}
 
 	for k := range 4 {
-		h := holder.Held{Model: fmt.Sprintf("m%d", (7*i+k)%431)}
+		h := holder.ResidentModel{Model: fmt.Sprintf("m%d", (7*i+k)%431)}
 		for a := range 3 * (k % 2) {
-			h.Adapters = append(h.Adapters, holder.Adapter{Name: fmt.Sprintf("a%d", a)})
+			h.Adapters = append(h.Adapters, holder.ResidentAdapter{Name: fmt.Sprintf("a%d", a)})
 		}
 
-		s.Held = append(s.Held, h)
+		s.Resident = append(s.Resident, h)
 	}
 
 	return s
@@ -61,7 +61,7 @@
 	n.rebuild(time.Now())
 
 	for i := 0; b.Loop(); i++ {
-		n.news.Stations[i%152].Held[0].Model = fmt.Sprintf("m%d", i%431)
+		n.news.Engines[i%152].Resident[0].Model = fmt.Sprintf("m%d", i%431)
 		n.rebuild(time.Now())
 	}
 }
@@ -79,15 +79,15 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
 			i := rapid.IntRange(0, engines-1).Draw(t, "engine")
 			id := instance.ID(fmt.Sprintf("t%03d", i))
-			s := &n.news.Stations[i]
+			s := &n.news.Engines[i]
 
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				s.Held = s.Held[:len(s.Held)/2]
+				s.Resident = s.Resident[:len(s.Resident)/2]
 			case 1:
 				*s = station(id, rapid.IntRange(0, 9).Draw(t, "models"))
 			case 2:
-				s.Held = append(s.Held, holder.Held{Model: "late", Ready: now.Add(time.Second)})
+				s.Resident = append(s.Resident, holder.ResidentModel{Model: "late", Ready: now.Add(time.Second)})
 			case 3:
 				delete(n.known, id)
 			case 4:
--- a/internal/placement/holder/decide.go
+++ b/internal/placement/holder/decide.go
@@ -65,7 +65,7 @@
 	defer h.mu.Unlock()
 
 	now := clock.Now()
-	if !h.lease.Valid(now, h.cfg.Terms) {
+	if !h.lease.Valid(now, h.cfg.Timing) {
 		return
 	}
 
--- a/internal/placement/holder/delta.go
+++ b/internal/placement/holder/delta.go
@@ -9,42 +9,42 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// Edition identifies a snapshot. The zero value identifies none.
-type Edition struct {
+// Version identifies a snapshot. The zero value identifies none.
+type Version struct {
 	Token uint64
 	// Process is a hash of the holder's process.
 	Process uint64
 	Number  uint64
 }
 
-// Edition returns the version of the snapshot.
-func (s News) Edition() Edition {
+// Version returns the version of the snapshot.
+func (s Snapshot) Version() Version {
 	if s.Process == "" {
-		return Edition{}
+		return Version{}
 	}
 
-	return Edition{Token: s.Token, Process: xxhash.Sum64String(s.Process), Number: s.Number}
+	return Version{Token: s.Token, Process: xxhash.Sum64String(s.Process), Number: s.Number}
 }
 
 // Delta is the difference between two snapshots.
 type Delta struct {
-	// News is the newer snapshot. It contains only those engines of which more
+	// Snapshot is the newer snapshot. It contains only those engines of which more
 	// than the counts has changed.
-	News
+	Snapshot
 	// Base is the version of the older snapshot. The zero value means that the
 	// delta is a complete snapshot.
-	Base Edition
+	Base Version
 	// Counts are for the engines of which only the counts have changed.
-	Counts []Count
-	// Gone are the targets that the newer snapshot does not contain.
-	Gone []instance.ID
+	Counts []EngineCounts
+	// Removed are the targets that the newer snapshot does not contain.
+	Removed []instance.ID
 }
 
-// Count is the load of one target: its running requests and the entries with
+// EngineCounts is the load of one target: its running requests and the entries with
 // queued ones.
-type Count struct {
-	Target         instance.ID
-	Running, Lines int
+type EngineCounts struct {
+	Target                  instance.ID
+	Running, WaitingEntries int
 }
 
 const (
@@ -60,27 +60,27 @@
 // sameCounts reports whether an entry that has s need not receive the counts
 // of o, because as many entries wait and the running requests differ by less
 // than minDiff.
-func (s *Station) sameCounts(o *Station, minDiff int) bool {
+func (s *EngineState) sameCounts(o *EngineState, minDiff int) bool {
 	diff := o.Running - s.Running
 
-	return s.Lines == o.Lines && max(diff, -diff) < minDiff
+	return s.WaitingEntries == o.WaitingEntries && max(diff, -diff) < minDiff
 }
 
 // sameModels reports whether an entry that has s need not receive the models
 // of o.
-func (s *Station) sameModels(o *Station, now time.Time) bool {
+func (s *EngineState) sameModels(o *EngineState, now time.Time) bool {
 	return s.Born == o.Born && s.Sequence == o.Sequence &&
-		(sameList(s.Held, o.Held) || slices.EqualFunc(s.Held, o.Held, func(a, b Held) bool { return a.similar(b, now) }))
+		(sameList(s.Resident, o.Resident) || slices.EqualFunc(s.Resident, o.Resident, func(a, b ResidentModel) bool { return a.similar(b, now) }))
 }
 
 // sameList reports whether two lists share their memory, as they do when the
 // engine has not changed between two snapshots.
-func sameList(a, b []Held) bool {
+func sameList(a, b []ResidentModel) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-func (m Held) similar(o Held, now time.Time) bool {
-	return m.Model == o.Model && similarReady(m.Ready, o.Ready, now) && slices.EqualFunc(m.Adapters, o.Adapters, func(a, b Adapter) bool {
+func (m ResidentModel) similar(o ResidentModel, now time.Time) bool {
+	return m.Model == o.Model && similarReady(m.Ready, o.Ready, now) && slices.EqualFunc(m.Adapters, o.Adapters, func(a, b ResidentAdapter) bool {
 		return a.Name == b.Name && similarReady(a.Ready, b.Ready, now)
 	})
 }
--- a/internal/placement/holder/delta_test.go
+++ b/internal/placement/holder/delta_test.go
@@ -15,31 +15,31 @@
 
 // drawSnapshot draws a snapshot of a small site, so that engines often stay
 // unchanged.
-func drawSnapshot(t *rapid.T, token, number uint64) News {
-	n := News{Holder: "h", Process: fmt.Sprint("p", token), Token: token, Number: number}
+func drawSnapshot(t *rapid.T, token, number uint64) Snapshot {
+	n := Snapshot{Holder: "h", Process: fmt.Sprint("p", token), Token: token, Number: number}
 
 	for i := range 4 {
 		if rapid.IntRange(0, 4).Draw(t, "listed") == 0 {
 			continue
 		}
 
-		s := Station{
+		s := EngineState{
 			Target: instance.ID(fmt.Sprint("t", i)), Born: int64(rapid.IntRange(1, 2).Draw(t, "born")),
 			Sequence: uint64(rapid.IntRange(0, 2).Draw(t, "sequence")), Running: rapid.IntRange(0, 5).Draw(t, "running"),
 		}
 		if rapid.Bool().Draw(t, "holds") {
-			s.Held = []Held{{Model: "m", Ready: time.Unix(int64(rapid.IntRange(0, 1).Draw(t, "ready")), 0)}}
+			s.Resident = []ResidentModel{{Model: "m", Ready: time.Unix(int64(rapid.IntRange(0, 1).Draw(t, "ready")), 0)}}
 		}
 
-		n.Stations = append(n.Stations, s)
+		n.Engines = append(n.Engines, s)
 	}
 
 	return n
 }
 
-func sortedEngines(s News) []Station {
-	out := slices.Clone(s.Stations)
-	slices.SortFunc(out, func(a, b Station) int { return cmp.Compare(a.Target, b.Target) })
+func sortedEngines(s Snapshot) []EngineState {
+	out := slices.Clone(s.Engines)
+	slices.SortFunc(out, func(a, b EngineState) int { return cmp.Compare(a.Target, b.Target) })
 
 	return out
 }
@@ -55,7 +55,7 @@
 			histories [entries]History
 			// has are the versions that the holder has recorded for the
 			// others.
-			has    [entries]Edition
+			has    [entries]Version
 			holder int
 		)
 
@@ -70,12 +70,12 @@
 				holder = rapid.IntRange(0, entries-1).Draw(t, "holder")
 
 				for other := range entries {
-					has[other] = histories[holder].News().Edition()
+					has[other] = histories[holder].Snapshot().Version()
 				}
 			}
 
 			latest := drawSnapshot(t, token, number)
-			histories[holder].Tell(latest, now)
+			histories[holder].Publish(latest, now)
 
 			for other := range entries {
 				if other == holder {
@@ -87,12 +87,12 @@
 					continue
 				}
 
-				if histories[other].News().Number != latest.Number {
+				if histories[other].Snapshot().Number != latest.Number {
 					deliver(t, &histories[holder], &histories[other], &has[other], now)
 				}
 
-				if has[other] == latest.Edition() {
-					assertSameState(t, histories[other].News(), latest)
+				if has[other] == latest.Version() {
+					assertSameState(t, histories[other].Snapshot(), latest)
 				}
 			}
 		}
@@ -104,41 +104,41 @@
 			}
 
 			for range 2 {
-				got, ok := histories[other].Merge(histories[holder].Since(has[other]))
+				got, ok := histories[other].Apply(histories[holder].Since(has[other]))
 				if ok {
-					histories[other].Hear(got, now)
+					histories[other].Receive(got, now)
 				}
 
-				has[other] = histories[other].snapshot.Edition()
+				has[other] = histories[other].snapshot.Version()
 			}
 
-			assertSameState(t, histories[other].News(), histories[holder].News())
+			assertSameState(t, histories[other].Snapshot(), histories[holder].Snapshot())
 		}
 	})
 }
 
 // deliver sends a delta. The delta or its answer may be lost. It reports
 // whether each of them arrived.
-func deliver(t *rapid.T, from, to *History, has *Edition, now time.Time) (delivered, answered bool) {
+func deliver(t *rapid.T, from, to *History, has *Version, now time.Time) (delivered, answered bool) {
 	fate := rapid.IntRange(0, 4).Draw(t, "fate")
 	if fate == 0 {
 		return false, false
 	}
 
-	if got, ok := to.Merge(from.Since(*has)); ok {
-		to.Hear(got, now)
+	if got, ok := to.Apply(from.Since(*has)); ok {
+		to.Receive(got, now)
 	}
 
 	if fate == 1 {
 		return true, false
 	}
 
-	*has = to.snapshot.Edition()
+	*has = to.snapshot.Version()
 
 	return true, true
 }
 
-func assertSameState(t *rapid.T, have, latest News) {
+func assertSameState(t *rapid.T, have, latest Snapshot) {
 	assert.Equal(t, have.Number, latest.Number)
 
 	want, now := sortedEngines(latest), sortedEngines(have)
@@ -154,10 +154,10 @@
 }
 
 // snapshotOf60 returns a snapshot of 60 targets of one holder.
-func snapshotOf60(token, number uint64) News {
-	out := News{Process: fmt.Sprint("p", token), Token: token, Number: number}
+func snapshotOf60(token, number uint64) Snapshot {
+	out := Snapshot{Process: fmt.Sprint("p", token), Token: token, Number: number}
 	for i := range 60 {
-		out.Stations = append(out.Stations, Station{Target: instance.ID(fmt.Sprint(i)), Running: 7})
+		out.Engines = append(out.Engines, EngineState{Target: instance.ID(fmt.Sprint(i)), Running: 7})
 	}
 
 	return out
@@ -169,19 +169,19 @@
 	var h History
 
 	old := snapshotOf60(1, 1)
-	h.Tell(old, time.Unix(0, 0))
+	h.Publish(old, time.Unix(0, 0))
 
 	next := snapshotOf60(1, 2)
-	next.Stations[3].Held = []Held{{Model: "m"}}
-	next.Stations[4].Running = 8
-	next.Stations[5].Running = 7 + runningStep
-	h.Tell(next, time.Unix(0, 0))
-
-	d := h.Since(old.Edition())
-	assert.Equal(t, d.Base, old.Edition())
-	assert.Equal(t, len(d.Stations), 1)
-	assert.Equal(t, d.Stations[0].Target, instance.ID("3"))
-	assert.DeepEqual(t, d.Counts, []Count{{Target: "5", Running: 7 + runningStep}})
+	next.Engines[3].Resident = []ResidentModel{{Model: "m"}}
+	next.Engines[4].Running = 8
+	next.Engines[5].Running = 7 + runningStep
+	h.Publish(next, time.Unix(0, 0))
+
+	d := h.Since(old.Version())
+	assert.Equal(t, d.Base, old.Version())
+	assert.Equal(t, len(d.Engines), 1)
+	assert.Equal(t, d.Engines[0].Target, instance.ID("3"))
+	assert.DeepEqual(t, d.Counts, []EngineCounts{{Target: "5", Running: 7 + runningStep}})
 }
 
 // TestCountsDrift guards against counts that drift away in small steps and are
@@ -190,15 +190,15 @@
 	var h History
 
 	first := snapshotOf60(1, 1)
-	h.Tell(first, time.Unix(0, 0))
+	h.Publish(first, time.Unix(0, 0))
 
 	for i := range uint64(runningStep) {
 		next := snapshotOf60(1, 2+i)
-		next.Stations[0].Running = 8 + int(i)
-		h.Tell(next, time.Unix(0, 0))
+		next.Engines[0].Running = 8 + int(i)
+		h.Publish(next, time.Unix(0, 0))
 	}
 
-	assert.DeepEqual(t, h.Since(first.Edition()).Counts, []Count{{Target: "0", Running: 7 + runningStep}})
+	assert.DeepEqual(t, h.Since(first.Version()).Counts, []EngineCounts{{Target: "0", Running: 7 + runningStep}})
 }
 
 // TestNewHolderSendsDelta guards against a new holder that sends the full
@@ -208,29 +208,29 @@
 	var successor, other, started History
 
 	now := time.Unix(0, 0)
-	successor.Hear(snapshotOf60(1, 8), now)
-	other.Hear(snapshotOf60(1, 8), now)
+	successor.Receive(snapshotOf60(1, 8), now)
+	other.Receive(snapshotOf60(1, 8), now)
 
 	own := snapshotOf60(2, 1)
-	own.Stations[3].Held = []Held{{Model: "m"}}
-	successor.Tell(own, now)
+	own.Engines[3].Resident = []ResidentModel{{Model: "m"}}
+	successor.Publish(own, now)
 
-	d := successor.Since(successor.Former())
-	assert.Equal(t, d.Base, snapshotOf60(1, 8).Edition())
-	assert.Equal(t, len(d.Stations), 1)
+	d := successor.Since(successor.PreviousVersion())
+	assert.Equal(t, d.Base, snapshotOf60(1, 8).Version())
+	assert.Equal(t, len(d.Engines), 1)
 
-	got, ok := other.Merge(d)
+	got, ok := other.Apply(d)
 	assert.Assert(t, ok)
-	assert.Equal(t, len(got.Stations), 60)
+	assert.Equal(t, len(got.Engines), 60)
 
 	// A process that has just started returns the zero version and gets the
 	// full snapshot.
-	_, ok = started.Merge(d)
+	_, ok = started.Apply(d)
 	assert.Assert(t, !ok)
 
-	d = successor.Since(started.snapshot.Edition())
-	assert.Equal(t, d.Base, Edition{})
-	assert.Equal(t, len(d.Stations), 60)
+	d = successor.Since(started.snapshot.Version())
+	assert.Equal(t, d.Base, Version{})
+	assert.Equal(t, len(d.Engines), 60)
 }
 
 // BenchmarkHear measures receiving a delta with changes to two of 3,000
@@ -240,27 +240,27 @@
 
 	var h, other History
 
-	n := News{Process: "p", Token: 1, Number: 1}
+	n := Snapshot{Process: "p", Token: 1, Number: 1}
 	for i := range targets {
-		n.Stations = append(n.Stations, Station{Target: instance.ID(fmt.Sprint("i-", i)), Held: []Held{{Model: "m"}, {Model: "n"}}})
+		n.Engines = append(n.Engines, EngineState{Target: instance.ID(fmt.Sprint("i-", i)), Resident: []ResidentModel{{Model: "m"}, {Model: "n"}}})
 	}
 
 	now := time.Unix(1000, 0)
-	h.Tell(n, now)
-	other.Hear(h.News(), now)
+	h.Publish(n, now)
+	other.Receive(h.Snapshot(), now)
 
 	for b.Loop() {
 		n.Number++
-		n.Stations = slices.Clone(n.Stations)
-		n.Stations[n.Number%targets].Running += runningStep
-		n.Stations[(n.Number+1)%targets].Sequence++
+		n.Engines = slices.Clone(n.Engines)
+		n.Engines[n.Number%targets].Running += runningStep
+		n.Engines[(n.Number+1)%targets].Sequence++
 
 		b.StopTimer()
-		h.Tell(n, now)
+		h.Publish(n, now)
 		b.StartTimer()
 
-		got, ok := other.Merge(h.Since(other.News().Edition()))
+		got, ok := other.Apply(h.Since(other.Snapshot().Version()))
 		assert.Assert(b, ok)
-		other.Hear(got, now)
+		other.Receive(got, now)
 	}
 }
--- a/internal/placement/holder/down_test.go
+++ b/internal/placement/holder/down_test.go
@@ -28,8 +28,8 @@
 func (cl *cluster) replicas(model string) int {
 	replicas := 0
 
-	for _, s := range cl.latest().Stations {
-		for _, h := range s.Held {
+	for _, s := range cl.latest().Engines {
+		for _, h := range s.Resident {
 			if h.Model == model {
 				replicas++
 			}
@@ -41,7 +41,7 @@
 
 // inSnapshot reports whether the latest snapshot contains a target.
 func (cl *cluster) inSnapshot(target instance.ID) bool {
-	return slices.ContainsFunc(cl.latest().Stations, func(s holder.Station) bool { return s.Target == target })
+	return slices.ContainsFunc(cl.latest().Engines, func(s holder.EngineState) bool { return s.Target == target })
 }
 
 // TestTargetDown guards against a crashed target whose models are loaded
--- a/internal/placement/holder/history.go
+++ b/internal/placement/holder/history.go
@@ -22,7 +22,7 @@
 //
 // The zero value is empty. It is not safe for concurrent use.
 type History struct {
-	snapshot News
+	snapshot Snapshot
 	// index maps targets to the positions of their engines in the snapshot.
 	index map[instance.ID]int
 	// step counts the snapshots recorded.
@@ -44,47 +44,47 @@
 type engineSteps struct{ changed, counted uint64 }
 
 type versionStep struct {
-	Edition
+	Version
 
 	step uint64
 }
 
-// News returns the newest snapshot. Its engines must not be modified.
-func (h *History) News() News { return h.snapshot }
+// Snapshot returns the newest snapshot. Its engines must not be modified.
+func (h *History) Snapshot() Snapshot { return h.snapshot }
 
-// Tell records a snapshot that this entry publishes. Counts that hardly differ
+// Publish records a snapshot that this entry publishes. Counts that hardly differ
 // keep their last published values.
-func (h *History) Tell(latest News, now time.Time) { h.update(latest, now, runningStep) }
+func (h *History) Publish(latest Snapshot, now time.Time) { h.update(latest, now, runningStep) }
 
-// Hear records a snapshot that this entry has received.
-func (h *History) Hear(latest News, now time.Time) { h.update(latest, now, 1) }
+// Receive records a snapshot that this entry has received.
+func (h *History) Receive(latest Snapshot, now time.Time) { h.update(latest, now, 1) }
 
-func (h *History) update(latest News, now time.Time, minDiff int) {
+func (h *History) update(latest Snapshot, now time.Time, minDiff int) {
 	h.step++
 
 	if h.removed == nil {
 		h.removed = make(map[instance.ID]uint64)
 	}
 
-	if !sameTargets(h.snapshot.Stations, latest.Stations) {
-		h.reorder(latest.Stations)
+	if !sameTargets(h.snapshot.Engines, latest.Engines) {
+		h.reorder(latest.Engines)
 	}
 
-	stations := make([]Station, len(latest.Stations))
+	stations := make([]EngineState, len(latest.Engines))
 
-	for i := range latest.Stations {
-		stations[i] = h.updateEngine(i, &latest.Stations[i], now, minDiff)
+	for i := range latest.Engines {
+		stations[i] = h.updateEngine(i, &latest.Engines[i], now, minDiff)
 	}
 
 	h.snapshot, h.deltas = latest, nil
-	h.snapshot.Stations = stations
-	h.recordVersion(latest.Edition())
+	h.snapshot.Engines = stations
+	h.recordVersion(latest.Version())
 }
 
 // reorder brings the recorded engines into the order of a newer snapshot.
-func (h *History) reorder(latest []Station) {
+func (h *History) reorder(latest []EngineState) {
 	index := make(map[instance.ID]int, len(latest))
-	stations := make([]Station, len(latest))
+	stations := make([]EngineState, len(latest))
 	steps := make([]engineSteps, len(latest))
 
 	for i := range latest {
@@ -92,7 +92,7 @@
 		index[id] = i
 
 		if j, known := h.index[id]; known {
-			stations[i], steps[i] = h.snapshot.Stations[j], h.steps[j]
+			stations[i], steps[i] = h.snapshot.Engines[j], h.steps[j]
 		} else {
 			delete(h.removed, id)
 		}
@@ -104,12 +104,12 @@
 		}
 	}
 
-	h.index, h.snapshot.Stations, h.steps = index, stations, steps
+	h.index, h.snapshot.Engines, h.steps = index, stations, steps
 }
 
 // sameTargets reports whether two lists have the same targets in the same
 // order.
-func sameTargets(a, b []Station) bool {
+func sameTargets(a, b []EngineState) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -126,8 +126,8 @@
 // updateEngine returns the state to record for the engine at position i.
 // Running requests keep the recorded value if they differ by less than
 // minDiff.
-func (h *History) updateEngine(i int, s *Station, now time.Time, minDiff int) Station {
-	old, steps := h.snapshot.Stations[i], &h.steps[i]
+func (h *History) updateEngine(i int, s *EngineState, now time.Time, minDiff int) EngineState {
+	old, steps := h.snapshot.Engines[i], &h.steps[i]
 
 	switch {
 	case steps.changed == 0 || !old.sameModels(s, now):
@@ -136,55 +136,55 @@
 		return *s
 	case !old.sameCounts(s, minDiff):
 		steps.counted = h.step
-		old.Running, old.Lines = s.Running, s.Lines
+		old.Running, old.WaitingEntries = s.Running, s.WaitingEntries
 	}
 
 	return old
 }
 
-// Merge returns the newest snapshot with a delta applied, without recording
+// Apply returns the newest snapshot with a delta applied, without recording
 // it. It returns false when the delta has another base.
-func (h *History) Merge(d Delta) (News, bool) {
-	out := d.News
-	if d.Base == (Edition{}) {
+func (h *History) Apply(d Delta) (Snapshot, bool) {
+	out := d.Snapshot
+	if d.Base == (Version{}) {
 		return out, true
 	}
 
-	if h.snapshot.Edition() != d.Base {
+	if h.snapshot.Version() != d.Base {
 		return h.snapshot, false
 	}
 
 	// The order is kept, so that update rarely has to rebuild the index.
-	out.Stations = slices.Clone(h.snapshot.Stations)
+	out.Engines = slices.Clone(h.snapshot.Engines)
 
-	for _, s := range d.Stations {
+	for _, s := range d.Engines {
 		if i, known := h.index[s.Target]; known {
-			out.Stations[i] = s
+			out.Engines[i] = s
 		} else {
-			out.Stations = append(out.Stations, s)
+			out.Engines = append(out.Engines, s)
 		}
 	}
 
 	for _, c := range d.Counts {
 		if i, known := h.index[c.Target]; known {
-			out.Stations[i].Running, out.Stations[i].Lines = c.Running, c.Lines
+			out.Engines[i].Running, out.Engines[i].WaitingEntries = c.Running, c.WaitingEntries
 		}
 	}
 
-	if len(d.Gone) > 0 {
-		gone := make(map[instance.ID]bool, len(d.Gone))
-		for _, id := range d.Gone {
+	if len(d.Removed) > 0 {
+		gone := make(map[instance.ID]bool, len(d.Removed))
+		for _, id := range d.Removed {
 			gone[id] = true
 		}
 
-		out.Stations = slices.DeleteFunc(out.Stations, func(s Station) bool { return gone[s.Target] })
+		out.Engines = slices.DeleteFunc(out.Engines, func(s EngineState) bool { return gone[s.Target] })
 	}
 
 	return out, true
 }
 
 // recordVersion records a version and removes what only older ones need.
-func (h *History) recordVersion(v Edition) {
+func (h *History) recordVersion(v Version) {
 	h.versions = append(h.versions, versionStep{v, h.step})
 
 	if len(h.versions) <= versionsKept {
@@ -201,29 +201,29 @@
 }
 
 // Since returns the changes since the snapshot that another entry has.
-func (h *History) Since(base Edition) Delta {
+func (h *History) Since(base Version) Delta {
 	for _, v := range h.versions {
-		if v.Edition == base {
+		if v.Version == base {
 			return h.since(v)
 		}
 	}
 
-	return Delta{News: h.snapshot}
+	return Delta{Snapshot: h.snapshot}
 }
 
-// Former returns the version of the previous holder's last snapshot, or zero
+// PreviousVersion returns the version of the previous holder's last snapshot, or zero
 // if there is none. Most entries have that snapshot when a new holder first
 // publishes.
-func (h *History) Former() Edition {
-	own := h.snapshot.Edition()
+func (h *History) PreviousVersion() Version {
+	own := h.snapshot.Version()
 
 	for i := len(h.versions) - 1; i >= 0; i-- {
 		if v := h.versions[i]; v.Token != own.Token || v.Process != own.Process {
-			return v.Edition
+			return v.Version
 		}
 	}
 
-	return Edition{}
+	return Version{}
 }
 
 func (h *History) since(v versionStep) Delta {
@@ -231,23 +231,23 @@
 		return d
 	}
 
-	d := Delta{News: h.snapshot, Base: v.Edition}
-	d.Stations = nil
+	d := Delta{Snapshot: h.snapshot, Base: v.Version}
+	d.Engines = nil
 
 	for i, steps := range h.steps {
-		s := &h.snapshot.Stations[i]
+		s := &h.snapshot.Engines[i]
 
 		switch {
 		case steps.changed > v.step:
-			d.Stations = append(d.Stations, *s)
+			d.Engines = append(d.Engines, *s)
 		case steps.counted > v.step:
-			d.Counts = append(d.Counts, Count{Target: s.Target, Running: s.Running, Lines: s.Lines})
+			d.Counts = append(d.Counts, EngineCounts{Target: s.Target, Running: s.Running, WaitingEntries: s.WaitingEntries})
 		}
 	}
 
 	for id, step := range h.removed {
 		if step > v.step {
-			d.Gone = append(d.Gone, id)
+			d.Removed = append(d.Removed, id)
 		}
 	}
 
--- a/internal/placement/holder/holder.go
+++ b/internal/placement/holder/holder.go
@@ -30,7 +30,7 @@
 	Process string
 	Table   table.Service
 	Engines Engines
-	Terms   lease.Timing
+	Timing  lease.Timing
 	// TurnPause is the minimum time between orders of two different holders.
 	TurnPause time.Duration
 	// Targets returns the known targets. Routes returns the configuration in
@@ -41,12 +41,12 @@
 	Strength float64
 	// Peers returns the other entries that are alive.
 	Peers func() []Candidate
-	// Rivals returns the entries of Peers and others that may be alive. This
+	// Candidates returns the entries of Peers and others that may be alive. This
 	// entry's rank among them decides when it checks the lease. Nil means the
 	// same as Peers.
-	Rivals func() []Candidate
+	Candidates func() []Candidate
 	// Publish sends a snapshot to all entries, including this one.
-	Publish func(News)
+	Publish func(Snapshot)
 	Log     zerolog.Logger
 }
 
@@ -78,10 +78,10 @@
 	storeCapacities map[string]*storeCapacity
 	// predictions are for the models that can only be loaded later, sorted by
 	// key.
-	predictions []Wait
+	predictions []Prediction
 	// snapshot is the newest snapshot that was received or published, at
 	// snapshotAt.
-	snapshot   News
+	snapshot   Snapshot
 	snapshotAt time.Time
 	number     uint64
 	// published is false when the state has changed since the last snapshot
@@ -239,9 +239,9 @@
 	return nil
 }
 
-// Hear applies a snapshot of another holder. It reports whether the snapshot
+// Receive applies a snapshot of another holder. It reports whether the snapshot
 // is newer than the last one.
-func (h *Holder) Hear(next News) bool {
+func (h *Holder) Receive(next Snapshot) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
@@ -276,8 +276,8 @@
 	return h.lease.Token != 0
 }
 
-// Known returns the lease holder named by the newest snapshot.
-func (h *Holder) Known() instance.ID {
+// LastHolder returns the lease holder named by the newest snapshot.
+func (h *Holder) LastHolder() instance.ID {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
--- a/internal/placement/holder/leaseterm.go
+++ b/internal/placement/holder/leaseterm.go
@@ -45,7 +45,7 @@
 
 	h.mu.Lock()
 	h.watch.Observe(rows[0].Version, current, now)
-	free := h.watch.Free(now, h.cfg.Terms, h.cfg.Self, h.rank()) && now.Sub(h.started) >= acquireDelay
+	free := h.watch.Free(now, h.cfg.Timing, h.cfg.Self, h.rank()) && now.Sub(h.started) >= acquireDelay
 	h.mu.Unlock()
 
 	if free || current.Holder == h.cfg.Self && current.Process != h.cfg.Process {
@@ -79,7 +79,7 @@
 
 // rank returns this entry's rank among the candidates, counted from zero.
 func (h *Holder) rank() int {
-	others := h.cfg.Rivals
+	others := h.cfg.Candidates
 	if others == nil {
 		others = h.cfg.Peers
 	}
@@ -104,7 +104,7 @@
 	}
 	sent := clock.Now()
 
-	ctx, cancel := context.WithTimeout(ctx, h.cfg.Terms.Duration/2)
+	ctx, cancel := context.WithTimeout(ctx, h.cfg.Timing.Duration/2)
 	defer cancel()
 
 	version, err := h.leaseRow().Write(ctx, next, version)
@@ -146,7 +146,7 @@
 		return first
 	}
 
-	return clock.Later(first, now.Add(h.cfg.TurnPause-h.cfg.Terms.Duration+clockSlack))
+	return clock.Later(first, now.Add(h.cfg.TurnPause-h.cfg.Timing.Duration+clockSlack))
 }
 
 // clockSlack allows for the clock difference between two instances and the
@@ -161,7 +161,7 @@
 // renewIfDue renews the lease in the background, while decisions go on.
 func (h *Holder) renewIfDue(ctx context.Context, held lease.Holding) {
 	now := clock.Now()
-	if now.Before(held.RenewalSent.Add(h.cfg.Terms.Renew)) {
+	if now.Before(held.RenewalSent.Add(h.cfg.Timing.Renew)) {
 		return
 	}
 
@@ -169,7 +169,7 @@
 	tooEarly := now.Before(h.nextLeaseCall)
 
 	if !tooEarly {
-		h.nextLeaseCall = now.Add(h.cfg.Terms.Renew / 2) //nolint:mnd // Two attempts per renewal interval.
+		h.nextLeaseCall = now.Add(h.cfg.Timing.Renew / 2) //nolint:mnd // Two attempts per renewal interval.
 	}
 	h.mu.Unlock()
 
@@ -183,7 +183,7 @@
 	next.WriteID = uuid.NewString()
 	sent := clock.Now()
 
-	ctx, cancel := context.WithTimeout(ctx, h.cfg.Terms.Renew)
+	ctx, cancel := context.WithTimeout(ctx, h.cfg.Timing.Renew)
 	defer cancel()
 
 	version, err := h.leaseRow().Write(ctx, next, held.Version)
--- a/internal/placement/holder/orders.go
+++ b/internal/placement/holder/orders.go
@@ -139,7 +139,7 @@
 			if !h.resolveInDoubt(ctx, eng, o) {
 				return false
 			}
-		case out == Accepted || out == Holds:
+		case out == Accepted || out == AlreadyDone:
 			h.recordAccepted(eng, o, out)
 			h.cfg.Log.Info().Str("target", string(eng.origin.ID)).Str("model", o.Model).Str("adapter", o.Adapter).Bool("unload", o.Unload).
 				Uint64("sequence", o.Sequence).Int("tries", tries+1).Dur("took", clock.Now().Sub(began)).Msg("order accepted")
@@ -175,7 +175,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	if h.draining || !h.lease.Valid(clock.Now(), h.cfg.Terms) || h.engines[eng.origin.ID] != eng {
+	if h.draining || !h.lease.Valid(clock.Now(), h.cfg.Timing) || h.engines[eng.origin.ID] != eng {
 		eng.synced = false
 
 		return false
--- a/internal/placement/holder/predict.go
+++ b/internal/placement/holder/predict.go
@@ -14,7 +14,7 @@
 // cannot load yet. Entries refuse at once the requests that cannot wait so
 // long, and return that time for a retry.
 func (h *Holder) predict(service string, ready map[string]time.Duration, now time.Time) {
-	var predictions []Wait
+	var predictions []Prediction
 
 	for _, w := range h.predictions {
 		if name, _, _ := splitKey(w.Key); name != service {
@@ -25,7 +25,7 @@
 	firstPublished := h.predictedSince(service)
 
 	for model, delay := range ready {
-		w := Wait{Key: service + "/" + model, Ready: now.Add(delay), Since: now}
+		w := Prediction{Key: service + "/" + model, Ready: now.Add(delay), Since: now}
 		if since, ok := firstPublished[model]; ok {
 			w.Since = since
 		}
@@ -33,9 +33,9 @@
 		predictions = append(predictions, w)
 	}
 
-	slices.SortFunc(predictions, func(a, b Wait) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(predictions, func(a, b Prediction) int { return strings.Compare(a.Key, b.Key) })
 
-	if !slices.EqualFunc(predictions, h.predictions, func(a, b Wait) bool {
+	if !slices.EqualFunc(predictions, h.predictions, func(a, b Prediction) bool {
 		diff := a.Ready.Sub(b.Ready)
 
 		return a.Key == b.Key && max(diff, -diff) < predictionStep
--- a/internal/placement/holder/replacement_test.go
+++ b/internal/placement/holder/replacement_test.go
@@ -115,7 +115,7 @@
 	}
 
 	predicted := make(map[string]time.Time)
-	for _, wait := range c.cl.latest().Waits {
+	for _, wait := range c.cl.latest().Predictions {
 		predicted[wait.Key] = wait.Ready
 	}
 
--- a/internal/placement/holder/snapshot.go
+++ b/internal/placement/holder/snapshot.go
@@ -8,9 +8,9 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/inventory"
 )
 
-// News is the full state that the holder publishes to all entries: which
+// Snapshot is the full state that the holder publishes to all entries: which
 // models are loaded where.
-type News struct {
+type Snapshot struct {
 	Holder  instance.ID
 	Process string
 	// Token is the fencing token of the holder's lease. Number grows by one
@@ -19,25 +19,25 @@
 	// LeaseVersion is the version of the lease row, so that entries see
 	// renewals without reading the row.
 	LeaseVersion uint64
-	// Config is the version of the configuration that the holder has in force.
-	// List is the version of the target list at the last change of which
+	// ConfigVersion is the version of the configuration that the holder has in force.
+	// ListVersion is the version of the target list at the last change of which
 	// targets may be used. Entries with older versions read the store at once;
 	// the others need not.
-	Config, List uint64
+	ConfigVersion, ListVersion uint64
 	// StoreAge is how long ago the holder last read the store. Above a limit
 	// the other entries must read it themselves.
 	StoreAge time.Duration
 	// Successor is set when the holder has released the lease.
 	Successor instance.ID
-	Stations  []Station
-	// Waits are for the models that requests wait for and that can only be
+	Engines   []EngineState
+	// Predictions are for the models that requests wait for and that can only be
 	// loaded later. The list is always complete, in a delta too.
-	Waits []Wait
+	Predictions []Prediction
 }
 
-// Wait predicts when a model becomes ready that is neither on a target nor
+// Prediction predicts when a model becomes ready that is neither on a target nor
 // being loaded.
-type Wait struct {
+type Prediction struct {
 	Key   string
 	Ready time.Time
 	// Since is when the holder first made the prediction. It is not sent to
@@ -46,7 +46,7 @@
 }
 
 // newer reports whether s was published later than o.
-func (s News) newer(o News) bool {
+func (s Snapshot) newer(o Snapshot) bool {
 	if s.Token != o.Token {
 		return s.Token > o.Token
 	}
@@ -54,8 +54,8 @@
 	return s.Number > o.Number
 }
 
-// Station is the state of one engine as the holder has recorded it.
-type Station struct {
+// EngineState is the state of one engine as the holder has recorded it.
+type EngineState struct {
 	Target instance.ID
 	// Born distinguishes successive processes of the target.
 	Born int64
@@ -63,21 +63,21 @@
 	Sequence uint64
 	// Running is the number of requests of all entries that run on the target.
 	Running int
-	// Lines is the largest number of entries that have requests queued for one
+	// WaitingEntries is the largest number of entries that have requests queued for one
 	// of the engine's models, rounded up so that it rarely changes.
-	Lines int
-	Held  []Held
+	WaitingEntries int
+	Resident       []ResidentModel
 }
 
-// Held is a model that is loaded on an engine, or will be at Ready.
-type Held struct {
+// ResidentModel is a model that is loaded on an engine, or will be at Ready.
+type ResidentModel struct {
 	Model    string
 	Ready    time.Time
-	Adapters []Adapter
+	Adapters []ResidentAdapter
 }
 
-// Adapter is an adapter that is loaded on an engine, or will be at Ready.
-type Adapter struct {
+// ResidentAdapter is an adapter that is loaded on an engine, or will be at Ready.
+type ResidentAdapter struct {
 	Name  string
 	Ready time.Time
 }
@@ -117,15 +117,15 @@
 const (
 	// Accepted means that the order is being carried out.
 	Accepted Outcome = iota
-	// Holds means that there was nothing to do, or that it is already done.
-	Holds
+	// AlreadyDone means that there was nothing to do, or that it is already done.
+	AlreadyDone
 	// Busy means that another order is being carried out or that the sequence
 	// differs.
 	Busy
 	// Rejected means that the order can never be carried out.
 	Rejected
-	// Elsewhere means that another instance answered.
-	Elsewhere
+	// WrongInstance means that another instance answered.
+	WrongInstance
 )
 
 // Report is an engine's report of what it holds.
--- a/internal/placement/holder/station.go
+++ b/internal/placement/holder/station.go
@@ -315,13 +315,13 @@
 
 	h.sync(now)
 
-	for _, state := range h.snapshot.Stations {
+	for _, state := range h.snapshot.Engines {
 		eng := h.engines[state.Target]
 		if eng == nil || eng.target.Born != state.Born {
 			continue
 		}
 
-		for _, held := range state.Held {
+		for _, held := range state.Resident {
 			resident := &trackedModel{ready: held.Ready, adapters: make(map[string]*trackedAdapter, len(held.Adapters))}
 			for _, a := range held.Adapters {
 				resident.adapters[a.Name] = &trackedAdapter{ready: a.Ready}
@@ -413,10 +413,10 @@
 
 // buildSnapshot returns the state to publish to the entries. The caller holds
 // the lock.
-func (h *Holder) buildSnapshot() News {
+func (h *Holder) buildSnapshot() Snapshot {
 	h.number++
 
-	snapshot := News{
+	snapshot := Snapshot{
 		Holder: h.cfg.Self, Process: h.cfg.Process, Token: h.lease.Token, Number: h.number, LeaseVersion: h.lease.Version,
 	}
 
@@ -424,12 +424,12 @@
 	waiting := h.demand.WaitingEntries(time.Now(), ModelOf)
 
 	for id, eng := range h.engines {
-		state := Station{Target: id, Born: eng.target.Born, Sequence: eng.sequence, Running: running[id]}
+		state := EngineState{Target: id, Born: eng.target.Born, Sequence: eng.sequence, Running: running[id]}
 
 		if eng.down {
 			// Without an empty state entries would use the target list, which
 			// still has the models.
-			snapshot.Stations = append(snapshot.Stations, state)
+			snapshot.Engines = append(snapshot.Engines, state)
 
 			continue
 		}
@@ -440,23 +440,23 @@
 		}
 
 		for model, resident := range eng.models {
-			held := Held{Model: model, Ready: resident.ready}
+			held := ResidentModel{Model: model, Ready: resident.ready}
 			for name, a := range resident.adapters {
-				held.Adapters = append(held.Adapters, Adapter{Name: name, Ready: a.ready})
+				held.Adapters = append(held.Adapters, ResidentAdapter{Name: name, Ready: a.ready})
 			}
 
-			slices.SortFunc(held.Adapters, func(a, b Adapter) int { return cmp.Compare(a.Name, b.Name) })
-			state.Held = append(state.Held, held)
-			state.Lines = max(state.Lines, waiting[eng.target.Service+"/"+model])
+			slices.SortFunc(held.Adapters, func(a, b ResidentAdapter) int { return cmp.Compare(a.Name, b.Name) })
+			state.Resident = append(state.Resident, held)
+			state.WaitingEntries = max(state.WaitingEntries, waiting[eng.target.Service+"/"+model])
 		}
 
-		state.Lines = roundWaitingEntries(state.Lines)
+		state.WaitingEntries = roundWaitingEntries(state.WaitingEntries)
 
-		slices.SortFunc(state.Held, func(a, b Held) int { return cmp.Compare(a.Model, b.Model) })
-		snapshot.Stations = append(snapshot.Stations, state)
+		slices.SortFunc(state.Resident, func(a, b ResidentModel) int { return cmp.Compare(a.Model, b.Model) })
+		snapshot.Engines = append(snapshot.Engines, state)
 	}
 
-	snapshot.Waits = h.predictions
+	snapshot.Predictions = h.predictions
 
 	return snapshot
 }
--- a/internal/placement/holder/store_test.go
+++ b/internal/placement/holder/store_test.go
@@ -92,18 +92,18 @@
 			cl.ask(models...)
 
 			snapshot := cl.latest()
-			for _, wait := range snapshot.Waits {
+			for _, wait := range snapshot.Predictions {
 				assert.Assert(t, time.Until(wait.Ready) < 25*time.Second, "%s in %s", wait.Key, time.Until(wait.Ready))
-				assert.Assert(t, !slices.ContainsFunc(snapshot.Stations, func(s holder.Station) bool {
-					return slices.ContainsFunc(s.Held, func(h holder.Held) bool { return "s/"+h.Model == wait.Key })
+				assert.Assert(t, !slices.ContainsFunc(snapshot.Engines, func(s holder.EngineState) bool {
+					return slices.ContainsFunc(s.Resident, func(h holder.ResidentModel) bool { return "s/"+h.Model == wait.Key })
 				}), "%s is loaded", wait.Key)
 			}
 
-			most = max(most, len(snapshot.Waits))
+			most = max(most, len(snapshot.Predictions))
 		}
 
 		assert.Equal(t, most, 4, "four of eight are being loaded, the others are predicted")
-		assert.Equal(t, len(cl.latest().Waits), 0, "all are loaded")
+		assert.Equal(t, len(cl.latest().Predictions), 0, "all are loaded")
 		cl.finish()
 	})
 }
@@ -186,8 +186,8 @@
 
 // isReady reports whether entries with the snapshot send requests for a model
 // to a target.
-func isReady(snapshot holder.News, id instance.ID, model string) bool {
-	return slices.ContainsFunc(snapshot.Stations, func(s holder.Station) bool {
-		return s.Target == id && slices.ContainsFunc(s.Held, func(h holder.Held) bool { return h.Model == model && !h.Ready.After(time.Now()) })
+func isReady(snapshot holder.Snapshot, id instance.ID, model string) bool {
+	return slices.ContainsFunc(snapshot.Engines, func(s holder.EngineState) bool {
+		return s.Target == id && slices.ContainsFunc(s.Resident, func(h holder.ResidentModel) bool { return h.Model == model && !h.Ready.After(time.Now()) })
 	})
 }
--- a/internal/placement/holder/world_test.go
+++ b/internal/placement/holder/world_test.go
@@ -54,7 +54,7 @@
 	born      int64
 	processes map[instance.ID]int64
 	// last is the newest snapshot.
-	last holder.News
+	last holder.Snapshot
 	// publishDelay is how long the next publication blocks.
 	publishDelay time.Duration
 	// extraDelay is added to the transit time of orders.
@@ -120,9 +120,9 @@
 	ctx, stop := context.WithCancel(ctx)
 	m := &testHolder{stop: stop}
 	m.Holder = holder.New(holder.Config{
-		Self: id, Process: process, Table: gatedTable{&cl.table, &m.gate}, Engines: gatedEngines{cl, &m.gate}, Terms: timing, TurnPause: turnPause,
+		Self: id, Process: process, Table: gatedTable{&cl.table, &m.gate}, Engines: gatedEngines{cl, &m.gate}, Timing: timing, TurnPause: turnPause,
 		Targets: cl.targets, Routes: func() *route.Config { return cl.routes }, Peers: func() []holder.Candidate { return cl.candidates(id) },
-		Publish: func(n holder.News) { cl.publish(id, n) }, Log: zerolog.Nop(),
+		Publish: func(n holder.Snapshot) { cl.publish(id, n) }, Log: zerolog.Nop(),
 	})
 
 	cl.mu.Lock()
@@ -160,7 +160,7 @@
 	return out
 }
 
-func (cl *cluster) publish(from instance.ID, n holder.News) {
+func (cl *cluster) publish(from instance.ID, n holder.Snapshot) {
 	cl.mu.Lock()
 	partitioned := cl.partitioned[from]
 	cl.last = n
@@ -181,14 +181,14 @@
 			cl.mu.Unlock()
 
 			if m != nil && m.gate.Wait(cl.t.Context()) == nil {
-				m.Hear(n)
+				m.Receive(n)
 			}
 		}()
 	}
 }
 
 // latest returns the newest snapshot.
-func (cl *cluster) latest() holder.News {
+func (cl *cluster) latest() holder.Snapshot {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -134,7 +134,7 @@
 	case o.Adapter != "":
 		return w.orderAdapter(o, m)
 	case o.Unload && m == nil, !o.Unload && m != nil:
-		return holder.Holds
+		return holder.AlreadyDone
 	case o.Unload:
 		w.unload(o.Model, m)
 	default:
@@ -151,13 +151,13 @@
 	case m == nil || !m.ready:
 		return holder.Rejected
 	case m.adapters[o.Adapter] != o.Unload:
-		return holder.Holds
+		return holder.AlreadyDone
 	case o.Unload:
 		delete(m.adapters, o.Adapter)
 
 		w.sequence++
 
-		return holder.Holds
+		return holder.AlreadyDone
 	}
 
 	m.adapters[o.Adapter] = true
--- a/internal/wire/news/news.go
+++ b/internal/wire/news/news.go
@@ -36,7 +36,7 @@
 	Greet(g Greeting) Greeting
 	// Hear takes in a holder's news, unless they build on news that this entry
 	// does not have. It returns what it has then.
-	Hear(d holder.Delta) holder.Edition
+	Hear(d holder.Delta) holder.Version
 	// Report takes in an entry's demand.
 	Report(r demand.Report, missing []holder.Missing) error
 	// View returns what is newer here than what the peer has.
@@ -127,12 +127,12 @@
 }
 
 // Hear sends news. It returns which the entry has then.
-func (c *Client) Hear(ctx context.Context, d holder.Delta) (holder.Edition, error) {
+func (c *Client) Hear(ctx context.Context, d holder.Delta) (holder.Version, error) {
 	var has EditionMessage
 
 	// After an error a late answer may still be written to has.
 	if err := c.Call(ctx, serviceName+".Hear", fromDelta(d, time.Now()), &has); err != nil {
-		return holder.Edition{}, err
+		return holder.Version{}, err
 	}
 
 	return toEdition(has), nil
@@ -232,12 +232,12 @@
 	LeftMs int64
 }
 
-func fromEdition(e holder.Edition) EditionMessage {
+func fromEdition(e holder.Version) EditionMessage {
 	return EditionMessage{Token: e.Token, Process: e.Process, Number: e.Number}
 }
 
-func toEdition(e EditionMessage) holder.Edition {
-	return holder.Edition{Token: e.Token, Process: e.Process, Number: e.Number}
+func toEdition(e EditionMessage) holder.Version {
+	return holder.Version{Token: e.Token, Process: e.Process, Number: e.Number}
 }
 
 func leftMs(t, now time.Time) int64 { return max(0, t.Sub(now).Milliseconds()) }
@@ -245,26 +245,26 @@
 func fromDelta(n holder.Delta, now time.Time) Message {
 	out := Message{
 		Holder: string(n.Holder), Process: n.Process, Successor: string(n.Successor),
-		Token: n.Token, Number: n.Number, LeaseVersion: n.LeaseVersion, Config: n.Config, List: n.List,
+		Token: n.Token, Number: n.Number, LeaseVersion: n.LeaseVersion, Config: n.ConfigVersion, List: n.ListVersion,
 		StoreAgeMs: n.StoreAge.Milliseconds(), Base: fromEdition(n.Base),
 	}
 
-	for _, id := range n.Gone {
+	for _, id := range n.Removed {
 		out.Gone = append(out.Gone, string(id))
 	}
 
 	for _, c := range n.Counts {
-		out.Counts = append(out.Counts, CountMessage{Target: string(c.Target), Running: c.Running, Lines: c.Lines})
+		out.Counts = append(out.Counts, CountMessage{Target: string(c.Target), Running: c.Running, Lines: c.WaitingEntries})
 	}
 
-	for _, w := range n.Waits {
+	for _, w := range n.Predictions {
 		out.Waits = append(out.Waits, WaitMessage{Key: w.Key, LeftMs: leftMs(w.Ready, now)})
 	}
 
-	for _, s := range n.Stations {
-		st := StationMessage{Target: string(s.Target), Born: s.Born, Sequence: s.Sequence, Running: s.Running, Lines: s.Lines}
+	for _, s := range n.Engines {
+		st := StationMessage{Target: string(s.Target), Born: s.Born, Sequence: s.Sequence, Running: s.Running, Lines: s.WaitingEntries}
 
-		for _, held := range s.Held {
+		for _, held := range s.Resident {
 			h := HeldMessage{Model: held.Model, LeftMs: leftMs(held.Ready, now)}
 			for _, a := range held.Adapters {
 				h.Adapters = append(h.Adapters, AdapterMessage{Name: a.Name, LeftMs: leftMs(a.Ready, now)})
@@ -281,37 +281,37 @@
 
 func toDelta(n Message, now time.Time) holder.Delta {
 	at := func(ms int64) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
-	out := holder.Delta{Base: toEdition(n.Base), News: holder.News{
+	out := holder.Delta{Base: toEdition(n.Base), Snapshot: holder.Snapshot{
 		Holder: instance.ID(n.Holder), Process: n.Process, Successor: instance.ID(n.Successor),
-		Token: n.Token, Number: n.Number, LeaseVersion: n.LeaseVersion, Config: n.Config, List: n.List,
+		Token: n.Token, Number: n.Number, LeaseVersion: n.LeaseVersion, ConfigVersion: n.Config, ListVersion: n.List,
 		StoreAge: time.Duration(n.StoreAgeMs) * time.Millisecond,
 	}}
 
 	for _, id := range n.Gone {
-		out.Gone = append(out.Gone, instance.ID(id))
+		out.Removed = append(out.Removed, instance.ID(id))
 	}
 
 	for _, c := range n.Counts {
-		out.Counts = append(out.Counts, holder.Count{Target: instance.ID(c.Target), Running: c.Running, Lines: c.Lines})
+		out.Counts = append(out.Counts, holder.EngineCounts{Target: instance.ID(c.Target), Running: c.Running, WaitingEntries: c.Lines})
 	}
 
 	for _, w := range n.Waits {
-		out.Waits = append(out.Waits, holder.Wait{Key: w.Key, Ready: at(w.LeftMs)})
+		out.Predictions = append(out.Predictions, holder.Prediction{Key: w.Key, Ready: at(w.LeftMs)})
 	}
 
 	for _, s := range n.Stations {
-		st := holder.Station{Target: instance.ID(s.Target), Born: s.Born, Sequence: s.Sequence, Running: s.Running, Lines: s.Lines}
+		st := holder.EngineState{Target: instance.ID(s.Target), Born: s.Born, Sequence: s.Sequence, Running: s.Running, WaitingEntries: s.Lines}
 
 		for _, held := range s.Held {
-			h := holder.Held{Model: held.Model, Ready: at(held.LeftMs)}
+			h := holder.ResidentModel{Model: held.Model, Ready: at(held.LeftMs)}
 			for _, a := range held.Adapters {
-				h.Adapters = append(h.Adapters, holder.Adapter{Name: a.Name, Ready: at(a.LeftMs)})
+				h.Adapters = append(h.Adapters, holder.ResidentAdapter{Name: a.Name, Ready: at(a.LeftMs)})
 			}
 
-			st.Held = append(st.Held, h)
+			st.Resident = append(st.Resident, h)
 		}
 
-		out.Stations = append(out.Stations, st)
+		out.Engines = append(out.Engines, st)
 	}
 
 	return out
--- a/internal/wire/news/news_test.go
+++ b/internal/wire/news/news_test.go
@@ -43,10 +43,10 @@
 	return Greeting{From: member("other"), Pulses: []roll.Pulse{{Process: 1 << 63, Beat: 2}}, Known: []roll.Member{member("third")}}
 }
 
-func (e *echo) Hear(d holder.Delta) holder.Edition {
+func (e *echo) Hear(d holder.Delta) holder.Version {
 	e.news = d
 
-	return d.Edition()
+	return d.Version()
 }
 
 func (e *echo) Report(r demand.Report, missing []holder.Missing) error {
@@ -103,31 +103,31 @@
 	assert.DeepEqual(t, got.greeting.Digest, greeting.Digest)
 
 	now := time.Now()
-	sent := holder.Delta{Base: holder.Edition{Token: 2, Process: 1 << 63, Number: 3}, Counts: []holder.Count{{Target: "c", Running: 4, Lines: 1}}, Gone: []instance.ID{"g"}, News: holder.News{
-		Holder: "h", Process: "p", Successor: "s", Token: 3, Number: 4, LeaseVersion: 5, Config: 6, List: 7, StoreAge: 80 * time.Millisecond,
-		Waits: []holder.Wait{{Key: "s/m", Ready: now.Add(time.Second)}},
-		Stations: []holder.Station{{Target: "t", Born: 6, Sequence: 7, Running: 8, Held: []holder.Held{{
-			Model: "m", Ready: now.Add(time.Second), Adapters: []holder.Adapter{{Name: "a", Ready: now.Add(-time.Second)}},
+	sent := holder.Delta{Base: holder.Version{Token: 2, Process: 1 << 63, Number: 3}, Counts: []holder.EngineCounts{{Target: "c", Running: 4, WaitingEntries: 1}}, Removed: []instance.ID{"g"}, Snapshot: holder.Snapshot{
+		Holder: "h", Process: "p", Successor: "s", Token: 3, Number: 4, LeaseVersion: 5, ConfigVersion: 6, ListVersion: 7, StoreAge: 80 * time.Millisecond,
+		Predictions: []holder.Prediction{{Key: "s/m", Ready: now.Add(time.Second)}},
+		Engines: []holder.EngineState{{Target: "t", Born: 6, Sequence: 7, Running: 8, Resident: []holder.ResidentModel{{
+			Model: "m", Ready: now.Add(time.Second), Adapters: []holder.ResidentAdapter{{Name: "a", Ready: now.Add(-time.Second)}},
 		}}}},
 	}}
 	has, err := c.Hear(t.Context(), sent)
 	assert.NilError(t, err)
-	assert.Equal(t, has, sent.Edition())
+	assert.Equal(t, has, sent.Version())
 	assert.Equal(t, got.news.Base, sent.Base)
 	assert.DeepEqual(t, got.news.Counts, sent.Counts)
-	assert.DeepEqual(t, got.news.Gone, sent.Gone)
+	assert.DeepEqual(t, got.news.Removed, sent.Removed)
 	assert.Equal(t, got.news.Successor, instance.ID("s"))
 	assert.Equal(t, got.news.LeaseVersion, uint64(5))
 
-	assert.Equal(t, got.news.Config, uint64(6))
-	assert.Equal(t, got.news.List, uint64(7))
+	assert.Equal(t, got.news.ConfigVersion, uint64(6))
+	assert.Equal(t, got.news.ListVersion, uint64(7))
 	assert.Equal(t, got.news.StoreAge, 80*time.Millisecond)
 
-	station := got.news.Stations[0]
+	station := got.news.Engines[0]
 	assert.Equal(t, station.Sequence, uint64(7))
 	assert.Equal(t, station.Running, 8)
-	assert.Assert(t, time.Until(station.Held[0].Ready) > 900*time.Millisecond)
-	assert.Assert(t, !station.Held[0].Adapters[0].Ready.After(time.Now()))
+	assert.Assert(t, time.Until(station.Resident[0].Ready) > 900*time.Millisecond)
+	assert.Assert(t, !station.Resident[0].Adapters[0].Ready.After(time.Now()))
 
 	r := demand.Report{
 		Entry: "e", Waiting: []replica.Demand{{Model: "s/m", Waiting: 2, Deadline: now.Add(3 * time.Second)}},
@@ -179,10 +179,10 @@
 	c := &Client{Caller: frame.Caller{Address: netip.MustParseAddrPort(l.Addr().String())}}
 	defer c.Close()
 
-	d := holder.Delta{Base: holder.Edition{Token: 3, Process: 1 << 63, Number: 1200}, News: holder.News{
-		Holder: "frontend-centro-a-1", Process: "2853b030-cd73-48f1-8f11-0ab77e672abc", Token: 3, Number: 1201, LeaseVersion: 700, Config: 6, List: 650,
-		Stations: []holder.Station{{Target: "i-9643e10ce0", Born: 1767260437015, Sequence: 17, Running: 12, Held: []holder.Held{
-			{Model: "leti7875e0", Adapters: []holder.Adapter{{Name: "a11"}}}, {Model: "cuzi1830fc"}, {Model: "puba12b2f8"},
+	d := holder.Delta{Base: holder.Version{Token: 3, Process: 1 << 63, Number: 1200}, Snapshot: holder.Snapshot{
+		Holder: "frontend-centro-a-1", Process: "2853b030-cd73-48f1-8f11-0ab77e672abc", Token: 3, Number: 1201, LeaseVersion: 700, ConfigVersion: 6, ListVersion: 650,
+		Engines: []holder.EngineState{{Target: "i-9643e10ce0", Born: 1767260437015, Sequence: 17, Running: 12, Resident: []holder.ResidentModel{
+			{Model: "leti7875e0", Adapters: []holder.ResidentAdapter{{Name: "a11"}}}, {Model: "cuzi1830fc"}, {Model: "puba12b2f8"},
 		}}},
 	}}
 
