--- a/internal/customer/key/key.go
+++ b/internal/customer/key/key.go
@@ -1,5 +1,5 @@
-// Package key handles the keys with which callers say who they are. A key is a
-// secret: it is kept and compared only as its digest. The package does no I/O.
+// Package key handles the keys that identify clients. A key is a secret: only its
+// digest is stored and compared. The package does no I/O.
 package key
 
 import (
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Digest is the SHA-256 of a caller's key.
+// Digest is the SHA-256 of a client's key.
 type Digest [sha256.Size]byte
 
 // DigestOf returns the digest of a key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// MissingError says that a request carries no key that can be read. It never
-// holds what the request carried.
+// MissingError says that a request carries no readable key. It never contains what
+// the request carried.
 type MissingError struct{ Reason string }
 
 func (e *MissingError) Error() string { return "no key: " + e.Reason }
@@ -22,9 +22,9 @@
 // scheme is the name of the authentication scheme, in lower case.
 const scheme = "bearer"
 
-// FromHeader returns the digest of the one key in the lines of an Authorization
-// header, by RFC 6750 and RFC 9110: the scheme's name in any case, one or more
-// spaces, the key. It fails with a *MissingError.
+// FromHeader returns the digest of the single key in the lines of an Authorization
+// header, as RFC 6750 and RFC 9110 define it: the scheme's name in any case, one
+// or more spaces, the key. It fails with a *MissingError.
 func FromHeader(lines []string) (Digest, error) {
 	switch len(lines) {
 	case 0:
@@ -47,8 +47,8 @@
 	return DigestOf(text), nil
 }
 
-// wellFormed reports whether text is a token68: a line with a comma or a space
-// may hold two keys, of which a target's proxy might read the other.
+// wellFormed reports whether text is a token68. A line with a comma or a space may
+// contain two keys, and a target's proxy might read the other one.
 func wellFormed(text string) bool {
 	body := strings.TrimRight(text, "=")
 	if body == "" {
--- a/internal/customer/key/key_test.go
+++ b/internal/customer/key/key_test.go
@@ -27,8 +27,8 @@
 	assert.Equal(t, got, DigestOf("a-b.c_d~e+f/g=="))
 }
 
-// TestFromHeaderRefuses guards against a line of which this system and a target
-// would read different keys, and against a key in an error's text.
+// TestFromHeaderRefuses guards against a header line from which this system and a
+// target would read different keys, and against an error text that contains a key.
 func TestFromHeaderRefuses(t *testing.T) {
 	for name, lines := range map[string][]string{
 		"none":            nil,
--- a/internal/customer/limit/home.go
+++ b/internal/customer/limit/home.go
@@ -1,7 +1,7 @@
-// Package limit holds plans' limits over all entries. Each plan has a home
-// entry, which lends parts of the limits to the entries for a short time. An
-// entry that cannot reach the home uses a small static share. The package
-// does no I/O and reads no clock.
+// Package limit enforces plans' limits over all entries together. Each plan has a
+// limit owner, an entry that grants parts of the limits to the entries for a short
+// time. An entry that cannot reach the owner uses a small static share. The
+// package does no I/O and reads no clock.
 package limit
 
 import (
@@ -11,26 +11,26 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// GrantFor is how long a grant lasts after it was asked for.
+// GrantFor is how long a grant lasts after it was requested.
 const GrantFor = 2 * time.Second
 
-// margin is how much longer the home counts a grant, because its clock may
-// run faster than the entry's.
-const margin = 100 * time.Millisecond
+// clockMargin is how much longer the owner counts a grant than the entry uses it,
+// because the owner's clock may run faster than the entry's.
+const clockMargin = 100 * time.Millisecond
 
 // Amount is a part of a plan's limits.
 type Amount struct {
-	// Rate is in requests a second.
+	// Rate is in requests per second.
 	Rate float64
-	// Concurrency is in requests at a time.
+	// Concurrency is the number of concurrent requests.
 	Concurrency int
-	// Tokens is in generated tokens a second.
+	// Tokens is in generated tokens per second.
 	Tokens float64
 }
 
-// Of returns the whole limits of a plan. A limit of zero in the plan means
-// none, and then the amount here is unused.
-func Of(p plan.Plan) Amount {
+// Whole returns the whole limits of a plan. A limit of zero in the plan means
+// unlimited; the amount here is then unused.
+func Whole(p plan.Plan) Amount {
 	const secondsPerMinute = 60
 
 	return Amount{
@@ -40,12 +40,13 @@
 	}
 }
 
-// Static returns the share that each of n entries may use without a grant.
-// All static shares together are a quarter of the limits, so that the sum
-// holds even while the entries' views of n differ by a factor of four. They
-// are never lent: an entry falls back on its own whenever its grant runs out.
+// Static returns the share that each of n entries may use without a grant. All
+// static shares together are a quarter of the limits, so that the limits hold
+// even while the entries' values of n differ by a factor of four. Static shares
+// are never granted to other entries: an entry falls back on its own whenever
+// its grant expires.
 func Static(p plan.Plan, n int) Amount {
-	all, parts := Of(p), 4*max(1, n) //nolint:mnd // A quarter.
+	all, parts := Whole(p), 4*max(1, n) //nolint:mnd // A quarter.
 
 	return Amount{
 		Rate:        all.Rate / float64(parts),
@@ -64,50 +65,50 @@
 	Running int
 }
 
-// Grant is the home's answer. It replaces the entry's last grant and its
+// Grant is the owner's answer. It replaces the entry's previous grant and its
 // static share.
 type Grant struct {
 	Amount
 
-	// For is how long the grant lasts, counted from when it was asked for.
-	// Zero means that the home does not grant yet.
+	// For is how long the grant lasts, counted from when it was requested. Zero
+	// means that the owner does not grant yet.
 	For time.Duration
 }
 
-// Home grants the limits of the plans whose home it is. The zero value has
+// Home grants the limits of the plans that this entry owns. The zero value has
 // granted nothing. It is not safe for concurrent use.
 type Home struct {
-	plans map[string]map[instance.ID]lent
-	// since is when the membership last changed.
-	since time.Time
+	plans map[string]map[instance.ID]grantRecord
+	// changedAt is when the membership last changed.
+	changedAt time.Time
 }
 
-// lent is what one entry holds.
-type lent struct {
+// grantRecord is what one entry was granted.
+type grantRecord struct {
 	Amount
 
 	want  Amount
 	until time.Time
 }
 
-// MembershipChanged records that plans may have got another home. Until the
-// grants of the former homes have run out, this home grants nothing: without
-// this wait the limits would be lent twice.
-func (h *Home) MembershipChanged(now time.Time) { h.since = now }
+// MembershipChanged records that the owners of plans may have changed. This owner
+// grants nothing until the grants of the previous owners have expired; otherwise
+// the limits could be granted twice.
+func (h *Home) MembershipChanged(now time.Time) { h.changedAt = now }
 
-// Grant answers an ask from one of n entries.
+// Grant answers a request from one of n entries.
 func (h *Home) Grant(p plan.Plan, a Ask, n int, now time.Time) Grant {
-	if now.Before(h.since.Add(GrantFor + margin)) {
+	if now.Before(h.changedAt.Add(GrantFor + clockMargin)) {
 		return Grant{}
 	}
 
 	if h.plans == nil {
-		h.plans = make(map[string]map[instance.ID]lent)
+		h.plans = make(map[string]map[instance.ID]grantRecord)
 	}
 
 	entries := h.plans[p.Name]
 	if entries == nil {
-		entries = make(map[instance.ID]lent)
+		entries = make(map[instance.ID]grantRecord)
 		h.plans[p.Name] = entries
 	}
 
@@ -119,7 +120,7 @@
 
 	delete(entries, a.Entry)
 
-	l := lent{Amount: divide(p, entries, a, n), want: a.Want, until: now.Add(GrantFor + margin)}
+	l := grantRecord{Amount: divide(p, entries, a, n), want: a.Want, until: now.Add(GrantFor + clockMargin)}
 	l.Concurrency = max(l.Concurrency, 0)
 
 	counted := l
@@ -129,11 +130,11 @@
 	return Grant{Amount: l.Amount, For: GrantFor}
 }
 
-// divide returns the entry's part: what it wants if all wants fit, else in
-// proportion to the wants, and never more than what is not lent to others or
-// reserved for the static shares of entries without a grant.
-func divide(p plan.Plan, others map[instance.ID]lent, a Ask, n int) Amount {
-	all, static := Of(p), Static(p, n)
+// divide returns the entry's part: its demand if all demands fit, otherwise a
+// part in proportion to its demand. It is never more than what is neither granted
+// to others nor reserved for the static shares of entries without a grant.
+func divide(p plan.Plan, others map[instance.ID]grantRecord, a Ask, n int) Amount {
+	all, static := Whole(p), Static(p, n)
 	without := max(0, n-1-len(others))
 
 	free := Amount{
@@ -165,8 +166,8 @@
 	}
 }
 
-// share returns want, or its proportional part of all when the wants exceed
-// all.
+// share returns want, or its proportional part of all if the sum of all wants
+// exceeds all.
 func share(all, want, wants float64) float64 {
 	if wants <= all || wants == 0 {
 		return want
--- a/internal/customer/limit/limit_test.go
+++ b/internal/customer/limit/limit_test.go
@@ -16,9 +16,9 @@
 
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// TestSumOfGrants is the story of a plan whose requests come through many
-// entries: whatever they ask for, in whichever order, all grants that have not
-// run out and the static shares of entries without one stay within the plan's
+// TestSumOfGrants guards against grants that exceed a plan's limits when its requests
+// come through many entries. Whatever the entries request, in any order, the
+// unexpired grants and the static shares of entries without one stay within the
 // limits.
 func TestSumOfGrants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -28,7 +28,7 @@
 			Name: "p", Concurrency: rapid.IntRange(1, 64).Draw(t, "concurrency"),
 			RequestsPerSecond: rapid.IntRange(1, 500).Draw(t, "rate"), TokensPerMinute: 60000,
 		}
-		all, static := Of(p), Static(p, entries)
+		all, static := Whole(p), Static(p, entries)
 
 		var home Home
 
@@ -76,8 +76,8 @@
 	})
 }
 
-// TestNewHome: after the membership changed, a home waits until the grants of
-// the former home have run out.
+// TestNewHome checks that after a change of the membership an owner grants nothing
+// until the previous owner's grants have expired.
 func TestNewHome(t *testing.T) {
 	var home Home
 
@@ -86,11 +86,11 @@
 
 	home.MembershipChanged(now)
 	assert.Equal(t, home.Grant(p, a, 2, now.Add(GrantFor)).For, time.Duration(0))
-	assert.Equal(t, home.Grant(p, a, 2, now.Add(GrantFor+margin)).Concurrency, 5)
+	assert.Equal(t, home.Grant(p, a, 2, now.Add(GrantFor+clockMargin)).Concurrency, 5)
 }
 
-// TestLentAndTakenBack: an idle entry's part is lent to a busy one, and is
-// back within the time of a grant.
+// TestLentAndTakenBack checks that an idle entry's part is granted to a busy one and
+// is available again within the lifetime of a grant.
 func TestLentAndTakenBack(t *testing.T) {
 	var home Home
 
@@ -107,20 +107,20 @@
 	assert.Equal(t, ask("b", 8, 2, 1100*time.Millisecond), 4)
 }
 
-// bench is an entry's shares before a home that may be away.
+// bench is one entry's shares and a limit owner that may be unreachable.
 type bench struct {
 	Shares
 
-	home Home
-	plan plan.Plan
-	away bool
+	home        Home
+	plan        plan.Plan
+	unreachable bool
 }
 
 func newBench(p plan.Plan) *bench {
 	b := &bench{plan: p}
 	b.Entries = func() int { return 4 }
 	b.Ask = func(_ context.Context, a Ask) (Grant, error) {
-		if b.away {
+		if b.unreachable {
 			return Grant{}, context.DeadlineExceeded
 		}
 
@@ -156,13 +156,13 @@
 	})
 }
 
-// TestHomeAway is the story of a plan whose home entry has died: its requests
-// go on within the static share, and a small plan that has none waits for the
-// next home rather than being refused at once.
+// TestHomeAway covers a plan whose limit owner has died: its requests continue
+// within the static share, and a small plan without a static share waits for the
+// next owner instead of being refused at once.
 func TestHomeAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(plan.Plan{Name: "p", Concurrency: 16})
-		b.away = true
+		b.unreachable = true
 
 		_, ok := b.Admit(t.Context(), b.plan)
 		assert.Assert(t, ok)
@@ -180,7 +180,7 @@
 	})
 }
 
-// TestRate holds a rate against a naive count: over any ten seconds no more
+// TestRate checks the rate limit against a plain count: over ten seconds no more
 // requests are admitted than the rate and one burst allow.
 func TestRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/customer/limit/share.go
+++ b/internal/customer/limit/share.go
@@ -8,29 +8,30 @@
 	"github.com/fulmarcross/fulmarcross/internal/customer/plan"
 )
 
-// Share is one entry's part of one plan's limits. The zero value holds only
-// the static share. It is safe for concurrent use; only requests of the same
-// plan share it.
+// Share is one entry's part of one plan's limits. The zero value has only the
+// static share. It is safe for concurrent use; only requests of the same plan
+// contend for it.
 type Share struct {
 	mu      sync.Mutex
 	grant   Grant
 	until   time.Time
 	running int
 	// level is how many requests may start at once; it refills at the rate.
-	level  float64
-	filled time.Time
-	// tokens is the balance of generated tokens; it may go below zero,
-	// because an answer's length is known only at its end.
+	level      float64
+	refilledAt time.Time
+	// tokens is the balance of generated tokens. It may go below zero, because an
+	// answer's length is known only when it ends.
 	tokens float64
-	// wanted and spent are how many requests and tokens came lately. They
-	// fade, so that divided by the time constant they are rates.
-	wanted, spent float64
-	// peak is the most requests that ran or wanted to run at once; it fades.
-	peak  float64
-	faded time.Time
-	// short says that the home granted less than was asked for, at shortAt.
-	short   bool
-	shortAt time.Time
+	// recentRequests and recentTokens count requests and generated tokens with
+	// exponential decay; divided by the time constant they are rates.
+	recentRequests, recentTokens float64
+	// peak is the largest number of requests that ran or were about to start at the
+	// same time; it decays.
+	peak      float64
+	decayedAt time.Time
+	// shortfall says that the owner granted less than requested, at shortAt.
+	shortfall bool
+	shortAt   time.Time
 }
 
 // burst is how many seconds of a rate may be used at once.
@@ -43,27 +44,27 @@
 const (
 	// Allowed means that the request was counted and may start.
 	Allowed Verdict = iota
-	// AskHome means that the home may grant more now.
-	AskHome
+	// AskOwner means that the limit owner may grant more now.
+	AskOwner
 	// Exhausted means that the plan's limit is used up.
 	Exhausted
 )
 
-// Admit counts a request that wants to start at now. n is how many entries
-// there are. Unless it is allowed, retryAfter says when to try again.
+// Admit counts a request that is to start at now. n is the number of entries.
+// Unless the request is allowed, retryAfter says when to retry.
 func (s *Share) Admit(p plan.Plan, n int, now time.Time) (v Verdict, retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	have := s.have(p, n, now)
+	have := s.amount(p, n, now)
 	s.refill(p, have, now)
-	s.fade(now)
+	s.decay(now)
 
-	s.wanted++
+	s.recentRequests++
 	s.peak = max(s.peak, float64(s.running+1))
 
-	refused := AskHome
-	if s.short && now.Sub(s.shortAt) < askAgain {
+	refused := AskOwner
+	if s.shortfall && now.Sub(s.shortAt) < askInterval {
 		refused = Exhausted
 	}
 
@@ -71,9 +72,9 @@
 	case p.Concurrency > 0 && s.running >= have.Concurrency:
 		return refused, GrantFor
 	case p.RequestsPerSecond > 0 && s.level < 1:
-		return refused, untilFull(1-s.level, have.Rate)
+		return refused, waitUntil(1-s.level, have.Rate)
 	case p.TokensPerMinute > 0 && s.tokens < 0:
-		return refused, untilFull(-s.tokens, have.Tokens)
+		return refused, waitUntil(-s.tokens, have.Tokens)
 	}
 
 	s.level--
@@ -82,18 +83,18 @@
 	return Allowed, 0
 }
 
-// fadeOver is the time constant of what fades.
-const fadeOver = 2 * time.Second
+// decayTime is the time constant of the exponential decay.
+const decayTime = 2 * time.Second
 
-func (s *Share) fade(now time.Time) {
-	left := math.Exp(-float64(now.Sub(s.faded)) / float64(fadeOver))
-	s.faded = now
-	s.wanted *= left
-	s.spent *= left
+func (s *Share) decay(now time.Time) {
+	left := math.Exp(-float64(now.Sub(s.decayedAt)) / float64(decayTime))
+	s.decayedAt = now
+	s.recentRequests *= left
+	s.recentTokens *= left
 	s.peak = max(s.peak*left, float64(s.running))
 }
 
-func (s *Share) have(p plan.Plan, n int, now time.Time) Amount {
+func (s *Share) amount(p plan.Plan, n int, now time.Time) Amount {
 	if now.Before(s.until) {
 		return s.grant.Amount
 	}
@@ -102,19 +103,19 @@
 }
 
 func (s *Share) refill(p plan.Plan, have Amount, now time.Time) {
-	if s.filled.IsZero() {
-		s.filled = now
+	if s.refilledAt.IsZero() {
+		s.refilledAt = now
 		s.level = math.Max(1, have.Rate*burst)
 		s.tokens = have.Tokens * burst
 	}
 
-	passed := now.Sub(s.filled).Seconds()
-	s.filled = now
+	passed := now.Sub(s.refilledAt).Seconds()
+	s.refilledAt = now
 	s.level = min(s.level+passed*have.Rate, math.Max(1, have.Rate*burst))
 	s.tokens = min(s.tokens+passed*have.Tokens, float64(p.TokensPerMinute))
 }
 
-func untilFull(missing, rate float64) time.Duration {
+func waitUntil(missing, rate float64) time.Duration {
 	if rate <= 0 {
 		return GrantFor
 	}
@@ -122,19 +123,19 @@
 	return time.Duration(missing / rate * float64(time.Second))
 }
 
-// Done takes off a request that ended after it generated tokens.
+// Done counts the end of a request that generated the given number of tokens.
 func (s *Share) Done(tokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	s.running--
 	s.tokens -= float64(tokens)
-	s.spent += float64(tokens)
+	s.recentTokens += float64(tokens)
 }
 
-// Ask returns what to ask the home for: what was used lately and some more,
-// so that growing use need not wait for each grant. ok is false when the share
-// is idle.
+// Ask returns what to request from the limit owner: the recent use and some
+// headroom, so that growing use need not wait for each grant. ok is false when
+// the share is idle.
 func (s *Share) Ask(p plan.Plan, now time.Time) (a Ask, ok bool) {
 	const (
 		headroom = 1.5
@@ -145,28 +146,28 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.fade(now)
+	s.decay(now)
 
-	if s.running == 0 && s.wanted < idle {
+	if s.running == 0 && s.recentRequests < idle {
 		return Ask{}, false
 	}
 
-	all := Of(p)
-	perSecond := headroom / fadeOver.Seconds()
+	all := Whole(p)
+	perSecond := headroom / decayTime.Seconds()
 
 	return Ask{
 		Plan:    p.Name,
 		Running: s.running,
 		Want: Amount{
-			Rate:        min(all.Rate, s.wanted*perSecond+spare),
+			Rate:        min(all.Rate, s.recentRequests*perSecond+spare),
 			Concurrency: min(p.Concurrency, int(headroom*s.peak)+spare),
-			Tokens:      min(all.Tokens, s.spent*perSecond+all.Tokens/float64(max(spare, p.Concurrency))),
+			Tokens:      min(all.Tokens, s.recentTokens*perSecond+all.Tokens/float64(max(spare, p.Concurrency))),
 		},
 	}, true
 }
 
-// Take replaces the grant with the answer to a, which was asked for at asked.
-func (s *Share) Take(g Grant, a Ask, asked time.Time) {
+// Apply replaces the grant with the answer to a, which was sent at asked.
+func (s *Share) Apply(g Grant, a Ask, asked time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -176,7 +177,7 @@
 
 	s.grant = g
 	s.until = asked.Add(g.For)
-	s.short = g.Concurrency < a.Want.Concurrency || g.Rate < a.Want.Rate || g.Tokens < a.Want.Tokens
+	s.shortfall = g.Concurrency < a.Want.Concurrency || g.Rate < a.Want.Rate || g.Tokens < a.Want.Tokens
 	s.shortAt = asked
 }
 
--- a/internal/customer/limit/shares.go
+++ b/internal/customer/limit/shares.go
@@ -8,22 +8,23 @@
 	"github.com/fulmarcross/fulmarcross/internal/customer/plan"
 )
 
-// Shares are one entry's shares of all plans' limits. Set Ask and Entries
+// Shares are one entry's shares of the limits of all plans. Set Ask and Entries
 // before use.
 type Shares struct {
-	// Ask asks the plan's home for a grant.
+	// Ask requests a grant from the plan's limit owner.
 	Ask func(ctx context.Context, a Ask) (Grant, error)
-	// Entries returns how many entries there are.
+	// Entries returns the number of entries.
 	Entries func() int
 
 	shares sync.Map // shares maps a plan's name to its *Share.
 }
 
-// The times for which a request waits for a grant when this entry's static
-// share is used up and the home does not answer or does not grant yet.
+// A request waits for a grant, asking every askInterval for up to askTimeout, when
+// this entry's static share is used up and the owner does not answer or does not
+// grant yet.
 const (
-	askAgain = 100 * time.Millisecond
-	askFor   = GrantFor + 500*time.Millisecond
+	askInterval = 100 * time.Millisecond
+	askTimeout  = GrantFor + 500*time.Millisecond
 )
 
 // Of returns this entry's share of a plan's limits.
@@ -37,11 +38,11 @@
 	return got.(*Share) //nolint:forcetypeassert // The map holds nothing else.
 }
 
-// Admit counts a request of the plan, asking the plan's home if need be. When
-// the limit is used up it returns false and when to try again.
+// Admit counts a request of the plan and, if necessary, requests a grant from the
+// limit owner. If the limit is used up it returns false and when to retry.
 func (s *Shares) Admit(ctx context.Context, p plan.Plan) (retryAfter time.Duration, ok bool) {
 	share := s.Of(p.Name)
-	until := time.Now().Add(askFor)
+	until := time.Now().Add(askTimeout)
 
 	for {
 		v, retryAfter := share.Admit(p, s.Entries(), time.Now())
@@ -51,7 +52,7 @@
 			return 0, true
 		case Exhausted:
 			return retryAfter, false
-		case AskHome:
+		case AskOwner:
 		}
 
 		if s.refresh(ctx, p, share) {
@@ -67,11 +68,11 @@
 			return retryAfter, false
 		}
 
-		time.Sleep(askAgain)
+		time.Sleep(askInterval)
 	}
 }
 
-// refresh asks the home once. It reports whether a grant came.
+// refresh requests a grant once. It reports whether one was received.
 func (s *Shares) refresh(ctx context.Context, p plan.Plan, share *Share) bool {
 	asked := time.Now()
 
@@ -85,12 +86,12 @@
 		return false
 	}
 
-	share.Take(g, a, asked)
+	share.Apply(g, a, asked)
 
 	return true
 }
 
-// Renew asks the homes of all plans that are in use for new grants.
+// Renew requests new grants for all plans that are in use.
 func (s *Shares) Renew(ctx context.Context, lists plan.State) {
 	s.shares.Range(func(key, value any) bool {
 		name, _ := key.(string)
--- a/internal/customer/list/list_test.go
+++ b/internal/customer/list/list_test.go
@@ -22,10 +22,10 @@
 	return plan.Allow{Allowance: plan.Allowance{Plan: "p", Kind: plan.Model, Name: name}}
 }
 
-// TestRace is the story of eight operators in one room who edit the same list
-// at once, each trying again after a conflict, while answers of the table are
-// lost: every edit that was accepted is there at the end, in the order of the
-// versions, and none is there twice.
+// TestRace guards against lost and doubled edits: eight operators edit the same list
+// concurrently, each retrying after a conflict, while answers of the table are
+// lost. At the end every accepted edit is present exactly once, in the order of
+// the versions.
 func TestRace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const operators, edits = 8, 5
@@ -86,8 +86,8 @@
 	})
 }
 
-// TestPutOutcomes lists what a put may say, with an answer lost at each step:
-// accepted, in conflict, or unknown only while the store cannot be asked.
+// TestPutOutcomes lists the outcomes of a put: accepted, in conflict, or in doubt only
+// while the store cannot be reached.
 func TestPutOutcomes(t *testing.T) {
 	put := Put{WriteID: "w", Author: "o", Changes: []plan.Change{allow("m")}}
 
@@ -141,7 +141,7 @@
 	})
 }
 
-// downAfterWrite goes away as its first write takes effect.
+// downAfterWrite becomes unavailable when its first write takes effect.
 type downAfterWrite struct{ *platform.Platform }
 
 func (d *downAfterWrite) Commit(ctx context.Context, tx table.Transaction) (uint64, error) {
@@ -155,7 +155,7 @@
 	return v, err
 }
 
-// TestRegisterNeverGoesBack: whatever edits and whole copies come, in whatever
+// TestRegisterNeverGoesBack checks that, whatever edits and whole copies arrive in any
 // order, the version only grows and the state is always that of its version.
 func TestRegisterNeverGoesBack(t *testing.T) {
 	const edits = 20
--- a/internal/customer/list/register.go
+++ b/internal/customer/list/register.go
@@ -7,19 +7,18 @@
 	"github.com/fulmarcross/fulmarcross/internal/customer/plan"
 )
 
-// Register is an entry's copy of the lists. Readers take no lock. The zero
-// value is at version zero.
+// Register is an entry's copy of the lists. Reads of the current lists take no
+// lock. The zero value is at version zero.
 type Register struct {
 	mu      sync.Mutex
 	current atomic.Pointer[plan.State]
-	// recent are the last edits, without gaps, ending at the version in
-	// force.
+	// recent are the last edits, without gaps, up to the current version.
 	recent []plan.Edit
 	// changed is closed and replaced when the version grows.
 	changed chan struct{}
 }
 
-// recentEdits is how many edits an entry keeps for its peers.
+// recentEdits is how many edits an entry retains for its peers.
 const recentEdits = 512
 
 // Current returns the lists in force.
@@ -43,9 +42,9 @@
 	return r.changed
 }
 
-// Apply puts the edits in force that follow the current version without a
-// gap, and returns those. Older edits are skipped: the version never goes
-// back, whatever a peer with an old copy sends.
+// Apply applies the edits that follow the current version without a gap, and
+// returns those. Older edits are skipped, so the version never goes back, even if
+// a peer with an old copy sends them.
 func (r *Register) Apply(edits []plan.Edit) []plan.Edit {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,8 +69,8 @@
 	return applied
 }
 
-// Restore puts a whole copy in force if it is newer. It reports whether it
-// was.
+// Restore replaces the lists by a whole copy if that is newer. It reports whether
+// it was.
 func (r *Register) Restore(s plan.State) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,8 +94,8 @@
 	}
 }
 
-// After returns the edits after the version. It reports false when some of
-// them are no longer at hand.
+// After returns the edits after the version. It reports false if some of them are
+// no longer retained.
 func (r *Register) After(version uint64) ([]plan.Edit, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/customer/list/store.go
+++ b/internal/customer/list/store.go
@@ -1,6 +1,6 @@
-// Package list keeps the operators' two lists: in the table service, where
-// edits race and one wins, and in each entry, where the newest version known
-// is in force.
+// Package list stores the operators' two lists: in the table service, where
+// concurrent edits conflict and one of them is accepted, and in each entry, which
+// uses the newest version it has received.
 package list
 
 import (
@@ -16,11 +16,10 @@
 // Store reads and edits the lists in the table service.
 type Store struct{ Table table.Service }
 
-// ConflictError says that an edit was made on an old version and is not
-// accepted.
+// ConflictError says that an edit was based on an old version and was not accepted.
 type ConflictError struct {
 	Base, Version uint64
-	// Since are the edits that were accepted after Base, oldest first.
+	// Since are the edits accepted after Base, oldest first.
 	Since []plan.Edit
 }
 
@@ -28,8 +27,8 @@
 	return fmt.Sprintf("list: the edit is based on version %d, but version %d is in force", e.Base, e.Version)
 }
 
-// UnknownError says that nobody can tell yet whether the edit was accepted.
-// Putting the same edit again with the same WriteID is harmless and tells.
+// UnknownError says that an edit is in doubt: it may or may not have been accepted.
+// Putting the same edit again with the same WriteID is safe and resolves it.
 type UnknownError struct {
 	WriteID string
 	Err     error
@@ -51,9 +50,9 @@
 	Changes []plan.Change
 }
 
-// Put accepts the edit or refuses it with a *ConflictError. It returns the
-// edit with its version. A put that was accepted before, as its WriteID
-// shows, is not applied again.
+// Put accepts the edit or refuses it with a *ConflictError. It returns the edit
+// with its version. An edit that was accepted before, as its WriteID shows, is
+// not applied again.
 func (s *Store) Put(ctx context.Context, p Put) (plan.Edit, error) {
 	current, row, err := s.version(ctx)
 	if err != nil {
@@ -61,7 +60,7 @@
 	}
 
 	if current != p.Base {
-		return s.stale(ctx, p, current)
+		return s.resolveStale(ctx, p, current)
 	}
 
 	e := plan.Edit{Version: current + 1, WriteID: p.WriteID, Author: p.Author, At: p.At, Changes: p.Changes}
@@ -80,24 +79,24 @@
 		return plan.Edit{}, &UnknownError{WriteID: p.WriteID, Err: err}
 	}
 
-	return s.stale(ctx, p, current)
+	return s.resolveStale(ctx, p, current)
 }
 
-// Resolve finds out what became of a put that was made on an old version,
-// without putting anything: it returns the edit if the put was accepted, and
-// a *ConflictError otherwise.
+// Resolve finds the outcome of a put that was based on an old version, without
+// putting anything: it returns the edit if the put was accepted, and a
+// *ConflictError otherwise.
 func (s *Store) Resolve(ctx context.Context, p Put) (plan.Edit, error) {
 	current, _, err := s.version(ctx)
 	if err != nil {
 		return plan.Edit{}, err
 	}
 
-	return s.stale(ctx, p, current)
+	return s.resolveStale(ctx, p, current)
 }
 
-// stale finds out whether an edit on an old version is a repeat of one that
+// resolveStale finds out whether an edit based on an old version repeats one that
 // was accepted.
-func (s *Store) stale(ctx context.Context, p Put, current uint64) (plan.Edit, error) {
+func (s *Store) resolveStale(ctx context.Context, p Put, current uint64) (plan.Edit, error) {
 	since, err := s.History(ctx, p.Base, maxHistory)
 	if err != nil {
 		return plan.Edit{}, &UnknownError{WriteID: p.WriteID, Err: err}
@@ -112,11 +111,11 @@
 	return plan.Edit{}, &ConflictError{Base: p.Base, Version: current, Since: since}
 }
 
-// maxHistory bounds how many edits are read at once.
+// maxHistory bounds the number of edits read at once.
 const maxHistory = 1000
 
-// transaction writes the version first, as the witness, then the history and
-// the changed rows.
+// transaction writes the version first, because the first write shows whether the
+// transaction was committed, then the history and the changed rows.
 func transaction(e plan.Edit, versionRow uint64) table.Transaction {
 	tx := table.Transaction{
 		Conditions: []table.Condition{{Key: record.VersionKey, Version: versionRow}},
@@ -187,9 +186,9 @@
 	return edits, nil
 }
 
-// Load reads the whole lists. Edits that are accepted during the reading may
-// be in it or not; applying them again is harmless, so the state counts as of
-// the version read before.
+// Load reads the whole lists. An edit that is accepted during the read may or may
+// not be included. Applying it again is harmless, so the state gets the version
+// that was read first.
 func (s *Store) Load(ctx context.Context) (plan.State, error) {
 	version, _, err := s.version(ctx)
 	if err != nil {
--- a/internal/customer/plan/plan.go
+++ b/internal/customer/plan/plan.go
@@ -1,5 +1,5 @@
-// Package plan describes the operators' two lists: the customers' plans, and
-// what each plan may use.
+// Package plan describes the operators' two lists: the customers' plans, and what
+// each plan may use.
 package plan
 
 import (
@@ -8,11 +8,11 @@
 	"github.com/fulmarcross/fulmarcross/internal/customer/key"
 )
 
-// Removal says what happens to a plan's running requests when the plan is
-// taken off the list. Waiting requests are always refused.
+// Removal says what happens to a plan's running requests when the plan is removed
+// from the list. Queued requests are always refused.
 type Removal string
 
-// The rules for running requests.
+// The values of Removal.
 const (
 	FinishRunning Removal = "finish"
 	CancelRunning Removal = "cancel"
@@ -24,16 +24,16 @@
 	Name     string
 	Customer string
 	Keys     []key.Digest
-	// RequestsPerSecond, Concurrency and TokensPerMinute hold over all
-	// entries together. Zero means without limit.
+	// RequestsPerSecond, Concurrency and TokensPerMinute apply to all entries
+	// together. Zero means unlimited.
 	RequestsPerSecond int
 	Concurrency       int
 	TokensPerMinute   int
-	// Accelerators is how many accelerators are kept for the plan.
+	// Accelerators is how many accelerators are reserved for the plan.
 	Accelerators int
-	// Priority is from 0 to 9, highest first.
+	// Priority is from 0 to 9; 9 is the highest.
 	Priority int
-	// RequestTimeout applies to requests that bring no timeout.
+	// RequestTimeout applies to requests that name no timeout.
 	RequestTimeout time.Duration
 	OnRemoval      Removal
 }
@@ -54,7 +54,7 @@
 	Name string
 }
 
-// Change is one line changed in one of the lists.
+// Change is a change of one entry in one of the lists.
 type Change interface{ change() }
 
 // SetPlan adds or replaces a plan.
--- a/internal/customer/plan/plan_test.go
+++ b/internal/customer/plan/plan_test.go
@@ -37,8 +37,8 @@
 	assert.Assert(t, s.Allows("a", Model, "m") && !s.Allows("a", Service, "m") && !s.Allows("b", Model, "m"))
 	assert.Equal(t, len(s.Allowances("a")), 2)
 
-	// A key that moves to another plan stays with it, whichever way round the
-	// changes come.
+	// A key that moves to another plan stays with that plan, whatever the order of
+	// the changes.
 	next := s.Apply(Edit{Version: 2, Changes: []Change{SetPlan{planOf("b", "k2", "k3")}, SetPlan{planOf("a", "k1")}}})
 
 	p, _ = next.Authenticate(key.DigestOf("k2"))
@@ -54,8 +54,8 @@
 	assert.Equal(t, gone.Version(), uint64(3))
 }
 
-// TestDiff: applying the difference between two lists leads from one to the
-// other, and there is none between equal lists.
+// TestDiff checks that applying the difference between two lists leads from one to
+// the other, and that equal lists have no difference.
 func TestDiff(t *testing.T) {
 	draw := func(t *rapid.T) State {
 		var (
@@ -90,7 +90,7 @@
 	})
 }
 
-// lists builds lists of n adapters, spread over a few plans.
+// lists builds lists of n adapters, spread over n/1000+1 plans.
 func lists(n int) State {
 	var (
 		plans      []Plan
@@ -112,8 +112,8 @@
 	return Restore(1, plans, allowances)
 }
 
-// BenchmarkApply measures one changed allowance; it must not grow with the
-// lists.
+// BenchmarkApply measures the change of one allowance; its cost must not grow with
+// the lists.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{880, 8800, 88000} {
 		b.Run(fmt.Sprintf("adapters=%d", n), func(b *testing.B) {
@@ -129,7 +129,7 @@
 	}
 }
 
-// BenchmarkMemory measures what a copy of the lists holds.
+// BenchmarkMemory measures the memory of one copy of the lists.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{880, 8800, 88000} {
 		b.Run(fmt.Sprintf("adapters=%d", n), func(b *testing.B) {
--- a/internal/customer/plan/state.go
+++ b/internal/customer/plan/state.go
@@ -9,8 +9,8 @@
 )
 
 // State is the two lists at one version. It is immutable: Apply returns a new
-// state that shares what did not change, so readers never wait for a change
-// and a change costs no more than its own size. The zero value is empty.
+// state that shares what did not change, so readers never wait for a change and
+// the cost of a change depends on its own size only. The zero value is empty.
 type State struct { //nolint:recvcheck // Only unshared copies are changed.
 	version uint64
 	plans   *immutable.SortedMap[string, Plan]
@@ -20,7 +20,7 @@
 
 type keyHasher struct{}
 
-// Hash implements immutable.Hasher. Key hashes are spread evenly already.
+// Hash implements immutable.Hasher. Key digests are already evenly distributed.
 func (keyHasher) Hash(k key.Digest) uint32 {
 	return uint32(k[0])<<24 | uint32(k[1])<<16 | uint32(k[2])<<8 | uint32(k[3])
 }
@@ -31,7 +31,7 @@
 // Version returns the lists' version, which starts at zero.
 func (s State) Version() uint64 { return s.version }
 
-// Authenticate returns the plan that the caller's key names.
+// Authenticate returns the plan that has the client's key.
 func (s State) Authenticate(k key.Digest) (Plan, bool) {
 	if s.keys == nil {
 		return Plan{}, false
@@ -69,7 +69,7 @@
 	return out
 }
 
-// Allows reports whether the plan may use the name.
+// Allows reports whether the plan may use the named model, adapter or service.
 func (s State) Allows(plan string, kind Kind, name string) bool {
 	if s.allowed == nil {
 		return false
@@ -80,8 +80,8 @@
 	return ok
 }
 
-// Allowances returns what the plan may use, sorted by kind and name. An empty
-// plan selects all plans.
+// Allowances returns what the plan may use, sorted by kind and name. An empty plan
+// selects all plans.
 func (s State) Allowances(plan string) []Allowance {
 	if s.allowed == nil {
 		return nil
@@ -109,7 +109,7 @@
 	return out
 }
 
-// separator cannot be part of a checked name.
+// separator cannot occur in a validated name.
 const separator = "\x00"
 
 func allowanceKey(a Allowance) string {
@@ -124,7 +124,7 @@
 
 // Restore builds the state at version from whole lists.
 func Restore(version uint64, plans []Plan, allowances []Allowance) State {
-	s := State{version: version}.filled()
+	s := State{version: version}.initialized()
 
 	for _, p := range plans {
 		s.setPlan(p)
@@ -137,10 +137,10 @@
 	return s
 }
 
-// Apply returns the state after e. Changes are idempotent, so applying an
-// edit to a state that already shows it is harmless.
+// Apply returns the state after e. Changes are idempotent, so applying an edit to
+// a state that already includes it is harmless.
 func (s State) Apply(e Edit) State {
-	next := s.filled()
+	next := s.initialized()
 	next.version = max(s.version, e.Version)
 
 	for _, c := range e.Changes {
@@ -160,8 +160,8 @@
 	return next
 }
 
-// filled returns s with empty maps in place of absent ones.
-func (s State) filled() State {
+// initialized returns s with empty maps in place of nil ones.
+func (s State) initialized() State {
 	if s.plans == nil {
 		s.plans = immutable.NewSortedMap[string, Plan](nil)
 		s.keys = immutable.NewMap[key.Digest, string](keyHasher{})
@@ -193,7 +193,7 @@
 	}
 }
 
-// Diff returns the changes that lead from s to the wanted lists.
+// Diff returns the changes that lead from s to the lists in want.
 func Diff(s State, want State) []Change {
 	var changes []Change
 
@@ -237,10 +237,10 @@
 
 	a.Keys, b.Keys = nil, nil
 
-	return equalTerms(a, b)
+	return equalFields(a, b)
 }
 
-func equalTerms(a, b Plan) bool {
+func equalFields(a, b Plan) bool {
 	return a.Name == b.Name &&
 		a.Customer == b.Customer &&
 		a.RequestsPerSecond == b.RequestsPerSecond &&
--- a/internal/customer/quota/home.go
+++ b/internal/customer/quota/home.go
@@ -1,13 +1,14 @@
-// Package quota keeps teams' limits over all entries. Every entry has an even
-// share of each limit and lends it, for a short time, to homes, each of which
-// pools what it was lent and decides request by request. A share is at any
-// moment in one place, so that the homes together never give more than the
-// limit, whoever dies, restarts, freezes or is cut off; nothing has to be agreed
-// on for that. Limits are in groups, each of which has homes of its own.
+// Package quota enforces teams' limits over all entries together. Every entry
+// owns an even share of each limit and delegates parts of it, for a short time,
+// to limit owners. An owner pools what was delegated to it and decides request by
+// request. At any moment each part of a share is used in one place only, so the
+// owners together never grant more than the limit, even when entries crash,
+// restart, freeze or are partitioned, and no agreement protocol is needed. Limits
+// are divided into groups, each with its own owners.
 //
-// It answers the load of many entries with few requests each: an entry's even
-// share of a second is less than one request. The package does no I/O and reads
-// no clock.
+// Pooling is needed where many entries get few requests each: an entry's even
+// share of one second is then less than one request. The package does no I/O and
+// reads no clock.
 package quota
 
 import (
@@ -21,16 +22,18 @@
 )
 
 const (
+	// Groups is the number of groups of limits.
 	// Groups is how many groups of limits there are.
 	Groups = 8
-	// Parts is in how many parts an entry lends its share of a group, to a home
-	// each: while one of them dies, the other has room for what is usual.
+	// Parts is the number of parts into which an entry divides its share of a
+	// group. Each part goes to a different owner, so that while one owner is down
+	// the other still has room for the usual load.
 	Parts = 2
-	// Slots is how many parts of shares an entry has.
+	// Slots is the number of parts of shares that an entry has.
 	Slots = Groups * Parts
 )
 
-// GroupOf returns the group of a team's limit.
+// GroupOf returns the group of the named team's limit.
 func GroupOf(name string) int { return int(xxhash.Sum64String(name) % Groups) }
 
 // SlotOf returns the slot of a part of a group.
@@ -39,77 +42,77 @@
 // SlotSet is a set of slots, one bit each.
 type SlotSet uint16
 
-// With returns the set with a slot added.
+// With returns the set with the slot added.
 func (s SlotSet) With(slot int) SlotSet { return s | 1<<slot }
 
-// Has reports whether a slot is in the set.
+// Has reports whether the slot is in the set.
 func (s SlotSet) Has(slot int) bool { return s&(1<<slot) != 0 }
 
-// Slack is what the operators let pass beyond a limit.
+// Slack is how far the operators allow a limit to be exceeded.
 type Slack struct {
-	// Overrun is a share of the limit, and Tolerance is in the limit's units.
+	// Overrun is a fraction of the limit; Tolerance is in the limit's units.
 	Overrun, Tolerance float64
 }
 
-// Stamp is a time on a home's own clock: how long its process has run.
+// Stamp is a time on an owner's own clock: how long its process has been running.
 type Stamp time.Duration
 
-// Loan is an entry's word that a home may use parts of its share.
+// Loan allows an owner to use parts of an entry's share until a given time.
 type Loan struct {
 	Entry instance.ID
 	Slots SlotSet
-	// Until is on the home's clock, as the entry last heard it, so that a loan
-	// that arrives late is void.
+	// Until is on the owner's clock and is computed from the last reading that the
+	// entry received, so that a delegation that arrives late has already expired.
 	Until Stamp
 }
 
-// Answer is what a home says to a request that wants to run.
+// Answer is an owner's decision on a request.
 type Answer struct {
 	Granted bool
-	// Wait is when the team's limit has room for the request again.
+	// Wait is how long it takes until the team's limit has room for the request.
 	Wait time.Duration
-	// Part is how much of the limit this home decides on, from 0 to 1.
+	// Part is the fraction of the limit that this owner decides on, from 0 to 1.
 	Part float64
-	// Settling says that less has flowed in here than the burst, so that the team
-	// may be refused what it has not used.
+	// Settling says that less than a full burst has accrued in this pool, so the
+	// team may be refused capacity that it has not used.
 	Settling bool
 }
 
-// Home decides on the limits that entries have lent it. Set Slack before use.
-// The zero value was lent nothing. It is not safe for concurrent use.
+// Home decides on the limits that entries have delegated to it. Set Slack before
+// use. The zero value has no delegations. It is not safe for concurrent use.
 type Home struct {
 	Slack Slack
 
-	loans map[instance.ID]*[Slots]Stamp
-	// lent counts the parts that are lent of each group. None of them ends before
-	// expiry.
-	lent    [Groups]int
-	expiry  Stamp
-	pools   [Groups]pool
-	buckets map[string]*bucket
+	delegations map[instance.ID]*[Slots]Stamp
+	// delegated counts the delegated parts of each group. None of them expires
+	// before expiry.
+	delegated [Groups]int
+	expiry    Stamp
+	pools     [Groups]pool
+	buckets   map[string]*bucket
 }
 
-// pool is what was lent of a group.
+// pool is what was delegated of a group.
 type pool struct {
-	// part is the part of the group's limits that is lent, from 0 to 1.
+	// part is the delegated fraction of the group's limits, from 0 to 1.
 	part float64
 	at   Stamp
-	// flow is the sum of part over time, in seconds of a whole limit.
-	flow float64
+	// accrued is the integral of part over time, in seconds of a whole limit.
+	accrued float64
 }
 
-// bucket is what a team may use at once. The zero value is empty and fills with
-// all that flowed since the pool's beginning.
+// bucket is a team's token bucket. The zero value is empty; its first fill adds
+// all that has accrued in the pool.
 type bucket struct {
 	limit team.Limit
 	group int
-	// level falls below zero only for a request larger than the burst.
+	// level falls below zero only after a request larger than the burst.
 	level float64
-	// flow is the pool's when the bucket was last filled.
-	flow float64
+	// accrued is the pool's value at the last fill.
+	accrued float64
 }
 
-// Lend takes in a loan. entries is how many entries there are, at least.
+// Lend accepts a delegation. entries is a lower bound on the number of entries.
 func (h *Home) Lend(l Loan, entries int, now Stamp) {
 	if l.Until <= now {
 		return
@@ -117,14 +120,14 @@
 
 	h.advance(entries, now)
 
-	if h.loans == nil {
-		h.loans = make(map[instance.ID]*[Slots]Stamp)
+	if h.delegations == nil {
+		h.delegations = make(map[instance.ID]*[Slots]Stamp)
 	}
 
-	until := h.loans[l.Entry]
+	until := h.delegations[l.Entry]
 	if until == nil {
 		until = new([Slots]Stamp)
-		h.loans[l.Entry] = until
+		h.delegations[l.Entry] = until
 	}
 
 	for slot := range Slots {
@@ -133,7 +136,7 @@
 		}
 
 		if until[slot] <= now {
-			h.lent[slot/Parts]++
+			h.delegated[slot/Parts]++
 		}
 
 		until[slot] = max(until[slot], l.Until)
@@ -143,11 +146,11 @@
 	h.advance(entries, now)
 }
 
-// Held returns the slots of an entry's share that are lent to this home.
+// Held returns the slots of an entry's share that are delegated to this owner.
 func (h *Home) Held(entry instance.ID, now Stamp) SlotSet {
 	var out SlotSet
 
-	if until := h.loans[entry]; until != nil {
+	if until := h.delegations[entry]; until != nil {
 		for slot, t := range until {
 			if t > now {
 				out = out.With(slot)
@@ -158,24 +161,24 @@
 	return out
 }
 
-// Release forgets all loans. The entries may lend their shares elsewhere once
-// they hear of it.
+// Release drops all delegations. The entries may delegate their shares to others
+// once they have been notified.
 func (h *Home) Release(now Stamp) {
-	h.loans = nil
-	h.count(now)
+	h.delegations = nil
+	h.recount(now)
 	h.advance(1, now)
 }
 
-// count counts the loans that have not ended.
-func (h *Home) count(now Stamp) {
-	h.lent, h.expiry = [Groups]int{}, math.MaxInt64
+// recount counts the delegations that have not expired and deletes the others.
+func (h *Home) recount(now Stamp) {
+	h.delegated, h.expiry = [Groups]int{}, math.MaxInt64
 
-	for id, until := range h.loans {
+	for id, until := range h.delegations {
 		kept := false
 
 		for slot, t := range until {
 			if t > now {
-				h.lent[slot/Parts]++
+				h.delegated[slot/Parts]++
 				h.expiry = min(h.expiry, t)
 
 				kept = true
@@ -183,24 +186,24 @@
 		}
 
 		if !kept {
-			delete(h.loans, id)
+			delete(h.delegations, id)
 		}
 	}
 }
 
-// advance lets the limits flow and ends the loans whose time is up. A pool that
-// shrinks takes its part from all that it has filled: the shares that left it
-// fill another home's buckets from now on.
+// advance accrues the limits up to now and drops expired delegations. A pool that
+// shrinks reduces all its buckets at once, because the shares that left it now
+// fill another owner's buckets.
 func (h *Home) advance(entries int, now Stamp) {
 	if now >= h.expiry {
-		h.count(now)
+		h.recount(now)
 	}
 
 	var shrunk [Groups]bool
 
 	for g := range h.pools {
 		p := &h.pools[g]
-		part := min(1, float64(h.lent[g])/float64(Parts*max(1, entries)))
+		part := min(1, float64(h.delegated[g])/float64(Parts*max(1, entries)))
 
 		if part < p.part {
 			shrunk[g] = true
@@ -220,24 +223,24 @@
 	}
 }
 
-// advance lets the limits flow until now. What was lent less or more at either
-// end of the time counts as the lesser.
+// advance accrues the limits up to now. If the delegated part changed during the
+// interval, the smaller of the two values counts for all of it.
 func (p *pool) advance(part float64, now Stamp) {
 	if now > p.at {
-		p.flow += min(p.part, part) * time.Duration(now-p.at).Seconds()
+		p.accrued += min(p.part, part) * time.Duration(now-p.at).Seconds()
 		p.at = now
 	}
 
 	p.part = part
 }
 
-// fill adds what has flowed, up to the part of the burst that is lent.
+// fill adds what has accrued, up to the delegated part of the burst.
 func (b *bucket) fill(p *pool) {
-	b.level = min(b.level+(p.flow-b.flow)*b.limit.PerSecond, p.part*b.limit.Burst)
-	b.flow = p.flow
+	b.level = min(b.level+(p.accrued-b.accrued)*b.limit.PerSecond, p.part*b.limit.Burst)
+	b.accrued = p.accrued
 }
 
-// Draw decides whether a request of the team that counts cost may run.
+// Draw decides whether a request of the named team with the given cost may run.
 func (h *Home) Draw(name string, limit team.Limit, cost float64, entries int, now Stamp) Answer {
 	h.advance(entries, now)
 
@@ -254,12 +257,12 @@
 	case p.part == 0:
 		return Answer{Wait: unknownWait}
 	case b.level-cost < -spare && b.level >= need:
-		// Larger than what this home can ever give.
+		// The request is larger than this owner can ever grant.
 		return Answer{Wait: unknownWait, Part: p.part}
 	case b.level < need:
 		wait := time.Duration((need - b.level) / (p.part * limit.PerSecond) * float64(time.Second))
 
-		return Answer{Wait: max(wait, leastWait), Part: p.part, Settling: p.flow*limit.PerSecond < p.part*limit.Burst}
+		return Answer{Wait: max(wait, minWait), Part: p.part, Settling: p.accrued*limit.PerSecond < p.part*limit.Burst}
 	}
 
 	b.level -= cost
@@ -268,14 +271,14 @@
 }
 
 const (
-	// unknownWait is when a caller is told to come back where the limit's home
-	// has nothing to decide on: loans move within about that time.
+	// unknownWait is the time after which a client may retry when the owner has no
+	// delegation to decide on: delegations move to another owner in about that time.
 	unknownWait = time.Second
-	// leastWait keeps a caller from coming back before its answer has left.
-	leastWait = 10 * time.Millisecond
+	// minWait keeps a client from retrying before the refusal has been sent.
+	minWait = 10 * time.Millisecond
 )
 
-// Return gives back what a request was counted that did not run.
+// Return credits the cost of a request that was granted but did not run.
 func (h *Home) Return(name string, limit team.Limit, amount float64, entries int, now Stamp) {
 	h.advance(entries, now)
 
@@ -283,7 +286,7 @@
 	b.level = min(b.level+amount, h.pools[b.group].part*limit.Burst)
 }
 
-// bucket returns a team's bucket, filled under the limit that now holds.
+// bucket returns a team's bucket, filled under the limit now in force.
 func (h *Home) bucket(name string, limit team.Limit) *bucket {
 	if h.buckets == nil {
 		h.buckets = make(map[string]*bucket)
@@ -301,7 +304,7 @@
 	return b
 }
 
-// Keep forgets the buckets of teams that are no longer known.
+// Keep deletes the buckets of the teams for which known returns false.
 func (h *Home) Keep(known func(name string) bool) {
 	for name := range h.buckets {
 		if !known(name) {
--- a/internal/customer/quota/lender.go
+++ b/internal/customer/quota/lender.go
@@ -7,75 +7,78 @@
 )
 
 const (
-	// lendLeast is the least time between two loans to a home, and lendPace the
-	// same for each entry that there is, so that a home's work has a bound. Loans are
-	// short, because what is lent to a home that dies is not there until they end.
-	lendLeast = 250 * time.Millisecond
-	lendPace  = 2 * time.Millisecond
-	// termRounds is for how many rounds a share is lent, so that one that is lost
-	// does not end the loan.
-	termRounds = 2.5
-	// drift is how much longer an entry keeps to a loan than the home, whose
-	// clock may run slower.
-	drift = 50 * time.Millisecond
-	// forgetReceipts is after what time a home's clock is forgotten; loans are
-	// shorter.
-	forgetReceipts = time.Minute
+	// minInterval is the shortest time between two delegations to an owner, and
+	// intervalPerEntry the time added for each entry, so that the work of an owner
+	// is bounded. Delegations are short, because what is delegated to an owner that
+	// crashes is unavailable until they expire.
+	minInterval      = 250 * time.Millisecond
+	intervalPerEntry = 2 * time.Millisecond
+	// ttlRounds is how many rounds a delegation lasts, so that one lost message does
+	// not end it.
+	ttlRounds = 2.5
+	// clockDrift is how much longer an entry honours a delegation than the owner,
+	// whose clock may run slower.
+	clockDrift = 50 * time.Millisecond
+	// clockRetention is how long an owner's clock reading is retained. Delegations
+	// are shorter.
+	clockRetention = time.Minute
 )
 
-// Every returns the time between two rounds of loans among so many entries.
+// Every returns the time between two rounds of delegations for a number of entries.
 func Every(entries int) time.Duration {
-	return max(lendLeast, time.Duration(entries)*lendPace)
+	return max(minInterval, time.Duration(entries)*intervalPerEntry)
 }
 
-// Term returns for how long a share is lent among so many entries.
-func Term(entries int) time.Duration { return time.Duration(termRounds * float64(Every(entries))) }
+// TTL returns how long a delegation lasts for a number of entries.
+func TTL(entries int) time.Duration { return time.Duration(ttlRounds * float64(Every(entries))) }
 
-// Process is one process of an entry that may be a home.
+// Process is one process of an entry that may be a limit owner.
 type Process struct {
 	ID instance.ID
-	// Run tells the processes of an instance apart.
+	// Run distinguishes the processes of an instance.
 	Run string
 }
 
-// Homes are whom to lend each slot.
+// Homes are the owners to which the slots are to be delegated, by slot.
 type Homes [Slots]Process
 
-// Lender decides to whom an entry lends its share. Set Started before use. It is
-// not safe for concurrent use.
+// Lender decides to which owners an entry delegates its share. Set Started before
+// use. It is not safe for concurrent use.
 type Lender struct {
-	// Started is when this process started. The process before it may have lent
-	// the same share a moment earlier.
+	// Started is when this process started. The entry's previous process may have
+	// delegated the same share a moment earlier.
 	Started time.Time
-	// Former are the entries that may have been homes then.
+	// Former are the entries that may have been owners then.
 	Former []instance.ID
 
-	// held are what the processes on instances say that this entry has lent them.
-	// A process that started later than this one holds nothing.
+	// held are the slots of this entry's share that the processes on other instances
+	// report as delegated to them. A process that started later than this one holds
+	// none.
 	held map[instance.ID]SlotSet
-	// bound are the homes that may still use a slot, until when.
-	bound [Slots]bond
-	heard map[Process]receipt
+	// bindings are the owners that may still use a slot, and until when.
+	bindings [Slots]binding
+	clocks   map[Process]clockReading
 }
 
-// bond is a slot that is lent.
-type bond struct {
+// binding is a slot's delegation.
+type binding struct {
 	to    Process
 	until time.Time
 }
 
-// receipt is a home's clock, as heard at a time of this entry.
-type receipt struct {
+// clockReading is an owner's clock and when this entry received it.
+type clockReading struct {
 	stamp Stamp
 	at    time.Time
 }
 
-// Loans returns what to lend to whom. A home that was not heard lately is asked
-// for its clock, by a loan of nothing. What is returned counts as lent.
+// Loans returns the delegations to send, by owner, and records them as made. An
+// owner without a recent clock reading gets an empty delegation, whose reply
+// carries its clock.
 func (l *Lender) Loans(homes Homes, self instance.ID, entries int, now time.Time) map[Process]Loan {
 	out := make(map[Process]Loan)
-	term := Term(entries)
-	settled := now.Sub(l.Started) >= term+drift
+	ttl := TTL(entries)
+	settled := now.Sub(l.Started) >= ttl+clockDrift
 
 	for slot, to := range homes {
 		if to.ID == "" {
@@ -87,13 +90,13 @@
 			loan = Loan{Entry: self}
 		}
 
-		h, known := l.heard[to]
-		fresh := known && now.Sub(h.at) < term
+		h, known := l.clocks[to]
+		fresh := known && now.Sub(h.at) < ttl
 
-		if fresh && l.free(slot, to, now) && (settled || l.unlent(slot, to.ID)) {
+		if fresh && l.available(slot, to, now) && (settled || l.unusedByFormer(slot, to.ID)) {
 			loan.Slots = loan.Slots.With(slot)
-			loan.Until = h.stamp + Stamp(term)
-			l.bind(slot, to, h.at.Add(term+drift))
+			loan.Until = h.stamp + Stamp(ttl)
+			l.bind(slot, to, h.at.Add(ttl+clockDrift))
 		}
 
 		out[to] = loan
@@ -102,9 +105,9 @@
 	return out
 }
 
-// bind notes that a slot is lent, until a time at least.
+// bind records that a slot is delegated at least until the given time.
 func (l *Lender) bind(slot int, to Process, until time.Time) {
-	b := &l.bound[slot]
+	b := &l.bindings[slot]
 	b.to = to
 
 	if until.After(b.until) {
@@ -112,20 +115,21 @@
 	}
 }
 
-// free reports whether a slot may be lent to a home: this process has lent it to
-// nobody else.
-func (l *Lender) free(slot int, to Process, now time.Time) bool {
-	b := l.bound[slot]
+// available reports whether a slot may be delegated to an owner: this process has
+// no unexpired delegation of it to another.
+func (l *Lender) available(slot int, to Process, now time.Time) bool {
+	b := l.bindings[slot]
 
 	return b.to == to || !now.Before(b.until)
 }
 
-// unlent reports whether a former process of this entry has lent a slot to nobody
-// but the home: all that may have been homes have answered.
+// unusedByFormer reports whether the entry's previous process has no delegation
+// of the slot to another owner than this one: all entries that may have been
+// owners have answered.
 //
-// It answers the restart of all entries at once, after which nothing was lent and
-// no team with a limit is served until shares are.
-func (l *Lender) unlent(slot int, home instance.ID) bool {
+// Without this, after a simultaneous restart of all entries, when nothing is
+// delegated, no team with a limit would be served until a whole TTL had passed.
+func (l *Lender) unusedByFormer(slot int, home instance.ID) bool {
 	for _, id := range l.Former {
 		held, answered := l.held[id]
 		if id != home && (!answered || held.Has(slot)) {
@@ -136,8 +140,8 @@
 	return len(l.Former) > 0
 }
 
-// Holds takes in what the process on an instance holds of this entry's share;
-// where no process runs, that is nothing.
+// Holds records the slots of this entry's share that the process on an instance
+// holds; none if no process runs there.
 func (l *Lender) Holds(id instance.ID, held SlotSet) {
 	if l.held == nil {
 		l.held = make(map[instance.ID]SlotSet)
@@ -146,40 +150,41 @@
 	l.held[id] = held
 }
 
-// Heard takes in a home's clock. at is when its answer arrived. It reports whether the
-// home was not known lately, so that a loan may follow at once.
+// Heard records an owner's clock; at is when its reply arrived. It reports whether
+// there was no recent reading of that owner, in which case a delegation may follow
+// at once.
 func (l *Lender) Heard(home Process, stamp Stamp, at time.Time) bool {
-	if l.heard == nil {
-		l.heard = make(map[Process]receipt)
+	if l.clocks == nil {
+		l.clocks = make(map[Process]clockReading)
 	}
 
-	old, known := l.heard[home]
-	l.heard[home] = receipt{stamp: stamp, at: at}
+	old, known := l.clocks[home]
+	l.clocks[home] = clockReading{stamp: stamp, at: at}
 
-	for p, h := range l.heard {
-		if at.Sub(h.at) > forgetReceipts {
-			delete(l.heard, p)
+	for p, h := range l.clocks {
+		if at.Sub(h.at) > clockRetention {
+			delete(l.clocks, p)
 		}
 	}
 
-	return !known || at.Sub(old.at) > lendLeast*2 //nolint:mnd // Two rounds.
+	return !known || at.Sub(old.at) > minInterval*2 //nolint:mnd // Two rounds.
 }
 
-// Ended frees what was lent to a home's process that has ended or that gave all
-// loans back.
+// Ended releases what was delegated to an owner's process that has ended or that
+// gave back all delegations.
 func (l *Lender) Ended(home Process) {
-	delete(l.heard, home)
+	delete(l.clocks, home)
 
-	for slot := range l.bound {
-		if l.bound[slot].to == home {
-			l.bound[slot] = bond{}
+	for slot := range l.bindings {
+		if l.bindings[slot].to == home {
+			l.bindings[slot] = binding{}
 		}
 	}
 }
 
-// With returns who may use a slot of this entry's share now.
+// With returns the process that may use a slot of this entry's share now.
 func (l *Lender) With(slot int, now time.Time) (Process, bool) {
-	b := l.bound[slot]
+	b := l.bindings[slot]
 
 	return b.to, b.to.ID != "" && now.Before(b.until)
 }
--- a/internal/customer/quota/quota_test.go
+++ b/internal/customer/quota/quota_test.go
@@ -23,10 +23,11 @@
 	lender  Lender
 	home    Home
 	started bool
-	// frozenUntil is until when its process does not run, and cutUntil until when
-	// it reaches no other entry and takes itself for the home.
+	// frozenUntil is until when its process is suspended; until cutUntil it reaches
+	// no other entry and takes itself for the owner.
 	frozenUntil, cutUntil time.Time
-	// choice is otherwise whom it takes for the home of all groups.
+	// choice is the index of the entry that it takes for the owner of all groups
+	// when it is not partitioned.
 	choice int
 }
 
@@ -37,13 +38,13 @@
 	e.born, e.lender, e.home, e.started = now, Lender{Started: now}, Home{Slack: e.home.Slack}, true
 }
 
-// fleet plays entries that lend, draw and fail, and keeps an exact account of
-// what ran.
+// fleet simulates entries that delegate, consume and fail, and records every
+// request that ran.
 type fleet struct {
 	entries []*entry
 	now     time.Time
 	limit   team.Limit
-	// late are loans that are still on their way.
+	// late are delegations that are still in transit.
 	late []lateLoan
 	ran  []run
 }
@@ -61,7 +62,7 @@
 
 const simulated = "team"
 
-// choices is how many entries may be homes.
+// choices is the number of entries that may be owners.
 const choices = 3
 
 func newFleet(n int, limit team.Limit, slack Slack) *fleet {
@@ -94,8 +95,8 @@
 
 func (f *fleet) stamp(e *entry) Stamp { return Stamp(f.now.Sub(e.born)) }
 
-// lend is one entry's round of loans. Each is lost, delayed or taken as the
-// schedule says.
+// lend plays one entry's round of delegations. Each is lost, delayed or delivered
+// as the schedule says.
 func (f *fleet) lend(e *entry, lost, delay bool) {
 	home := f.homeOf(e)
 
@@ -104,7 +105,7 @@
 		homes[slot] = home.process()
 	}
 
-	// After a start all that may have been homes are asked.
+	// After a start, all entries that may have been owners are asked.
 	e.lender.Former = nil
 	for _, other := range f.entries[:choices] {
 		e.lender.Former = append(e.lender.Former, other.id)
@@ -126,8 +127,7 @@
 	}
 }
 
-// deliver hands over the loans that were delayed, to the process that they were
-// meant for.
+// deliver delivers the delayed delegations to the processes they were sent to.
 func (f *fleet) deliver() {
 	f.late = slices.DeleteFunc(f.late, func(l lateLoan) bool {
 		if f.now.Before(l.at) {
@@ -144,7 +144,7 @@
 	})
 }
 
-// draw asks a home for a request of an entry, which runs if it is granted.
+// draw asks an owner to admit a request of an entry and records it if granted.
 func (f *fleet) draw(e *entry, cost float64) Answer {
 	to, bound := e.lender.With(SlotOf(GroupOf(simulated), 0), f.now)
 	home := f.homeOf(e)
@@ -169,7 +169,7 @@
 	return a
 }
 
-// doubled returns the entries whose share more than one home may use.
+// doubled returns the entries whose share more than one owner may use.
 func (f *fleet) doubled() []instance.ID {
 	var out []instance.ID
 
@@ -177,7 +177,7 @@
 		homes := 0
 
 		for _, e := range f.entries {
-			if until := e.home.loans[lender.id]; until != nil && until[SlotOf(GroupOf(simulated), 0)] > f.stamp(e) {
+			if until := e.home.delegations[lender.id]; until != nil && until[SlotOf(GroupOf(simulated), 0)] > f.stamp(e) {
 				homes++
 			}
 		}
@@ -190,7 +190,7 @@
 	return out
 }
 
-// ready returns what all homes together would grant at once.
+// ready returns what all owners together would grant at once.
 func (f *fleet) ready() float64 {
 	sum := 0.0
 
@@ -202,7 +202,7 @@
 	return sum
 }
 
-// worst returns the most that ran in any window.
+// worst returns the largest cost that ran within any window.
 func (f *fleet) worst(window time.Duration) float64 {
 	worst, sum, first := 0.0, 0.0, 0
 
@@ -225,17 +225,17 @@
 	rounding = 1e-6
 )
 
-// TestBoundHolds guards against more than the whole limit running in a window:
-// entries restart, all at once too, freeze, are cut off, disagree on the home,
-// and loans are lost or arrive late, while callers at every entry ask for
-// nothing and then for as much as they get.
+// TestBoundHolds guards against more than the whole limit running within a window.
+// Entries restart (also all at once), freeze, are partitioned and disagree on the
+// owner, and delegations are lost or delayed, while the clients of every entry
+// alternate between no requests and as many as are granted.
 func TestBoundHolds(t *testing.T) {
 	served := 0
 
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)) //nolint:gosec // A schedule, no secret.
 		n := 3 + r.IntN(6)
-		// A small burst leaves no room for a share that is used in two places.
+		// A small burst makes a share that is used in two places visible.
 		limit := team.Limit{PerSecond: 100, Burst: 10}
 		f := newFleet(n, limit, Slack{})
 
@@ -255,7 +255,7 @@
 				t.Fatalf("shares of %v are in two places", doubled)
 			}
 
-			// Looking takes part in what the homes do, so it is seldom.
+			// ready advances the owners' state, so it is called seldom.
 			if r.IntN(30) == 0 && f.ready() > limit.Burst+rounding {
 				t.Fatalf("%.3f are ready, %.0f may", f.ready(), limit.Burst)
 			}
@@ -309,9 +309,9 @@
 	}
 }
 
-// TestServesTheLimit: with nothing wrong, a team gets all of its limit, however
-// its requests are spread over the entries, and one that asks for many times as
-// much gets no less.
+// TestServesTheLimit checks that without faults a team gets its whole limit, however
+// its requests are spread over the entries, also when its demand is many times
+// the limit.
 func TestServesTheLimit(t *testing.T) {
 	for name, demand := range map[string]float64{"below": 0.6, "beyond": 7.5} {
 		t.Run(name, func(t *testing.T) {
@@ -334,7 +334,7 @@
 					}
 				}
 
-				// Before this nothing was lent.
+				// Until then the delegations are not yet in place.
 				if step < 100 {
 					continue
 				}
@@ -354,8 +354,9 @@
 	}
 }
 
-// TestHomeDies guards against a limit that is gone with its home: the shares are
-// lent elsewhere at once where its end is known, or else after a term.
+// TestHomeDies guards against a limit that stays unavailable after its owner dies:
+// the shares are delegated elsewhere at once if the death is known, and otherwise
+// after a TTL.
 func TestHomeDies(t *testing.T) {
 	for name, known := range map[string]bool{"known": true, "silent": false} {
 		t.Run(name, func(t *testing.T) {
@@ -400,14 +401,14 @@
 			if known {
 				assert.Assert(t, f.now.Sub(began) <= 3*Every(12), "took %s", f.now.Sub(began))
 			} else {
-				assert.Assert(t, f.now.Sub(began) <= Term(12)+3*Every(12), "took %s", f.now.Sub(began))
+				assert.Assert(t, f.now.Sub(began) <= TTL(12)+3*Every(12), "took %s", f.now.Sub(began))
 			}
 		})
 	}
 }
 
-// TestReturned: what was counted for a request that did not run can be used
-// again, and nobody gets more than the burst by returning.
+// TestReturned checks that the cost of a request that did not run can be used again,
+// and that returning never yields more than the burst.
 func TestReturned(t *testing.T) {
 	h := Home{}
 	l := team.Limit{PerSecond: 10, Burst: 10}
@@ -432,7 +433,8 @@
 	assert.Equal(t, granted, 10)
 }
 
-// TestLowered guards against a burst that outlives a lowered limit.
+// TestLowered guards against a bucket that keeps its old burst after the limit was
+// lowered.
 func TestLowered(t *testing.T) {
 	h := Home{}
 	second := Stamp(time.Second)
@@ -451,8 +453,8 @@
 	assert.Equal(t, h.Draw("a", low, 1, 1, 2*second).Wait, 100*time.Millisecond)
 }
 
-// TestLargeRequest: a request larger than the burst runs once the burst is
-// full, within what the operators tolerate, and never without.
+// TestLargeRequest checks that a request larger than the burst runs once the burst
+// is full, if the operators' tolerance allows it, and otherwise never.
 func TestLargeRequest(t *testing.T) {
 	l := team.Limit{PerSecond: 2700, Burst: 2700}
 	loan := Loan{Entry: "e", Slots: math.MaxUint16, Until: Stamp(time.Hour)}
@@ -469,7 +471,7 @@
 	assert.Assert(t, !a.Granted && a.Wait > 0)
 }
 
-// BenchmarkLend is one loan to a home of 1,200 entries.
+// BenchmarkLend measures one delegation to an owner among 1,200 entries.
 func BenchmarkLend(b *testing.B) {
 	const entries = 1200
 
@@ -485,11 +487,11 @@
 
 	for i := 0; b.Loop(); i++ {
 		now += Stamp(Every(entries)) / entries
-		h.Lend(Loan{Entry: ids[i%entries], Slots: math.MaxUint16, Until: now + Stamp(Term(entries))}, entries, now)
+		h.Lend(Loan{Entry: ids[i%entries], Slots: math.MaxUint16, Until: now + Stamp(TTL(entries))}, entries, now)
 	}
 }
 
-// BenchmarkDraw is one decision of a home of 1,200 entries and 1,000 teams.
+// BenchmarkDraw measures one decision of an owner with 1,200 entries and 1,000 teams.
 func BenchmarkDraw(b *testing.B) {
 	const entries = 1200
 
@@ -513,8 +515,8 @@
 	}
 }
 
-// TestSettling guards against a team that is refused, as if it had used its
-// limit, by a home that was lent it a moment before.
+// TestSettling guards against an owner that has just received a delegation and
+// refuses a team as if the team had used up its limit.
 func TestSettling(t *testing.T) {
 	h := Home{}
 	l := team.Limit{PerSecond: 100, Burst: 100}
--- a/internal/customer/team/team.go
+++ b/internal/customer/team/team.go
@@ -1,5 +1,5 @@
-// Package team describes the operators' teams: who may send requests, with
-// which keys, how urgent they are and how much they may use. It does no I/O.
+// Package team describes the operators' teams: which keys their requests carry,
+// how urgent they are and how much they may use. It does no I/O.
 package team
 
 import (
@@ -18,28 +18,28 @@
 const (
 	// Requests counts one for each request.
 	Requests Unit = iota
-	// Tokens counts the tokens of a request's prompt and the most that its
-	// answer may have.
+	// Tokens counts the tokens of a request's prompt and the maximum of its answer.
 	Tokens
 )
 
 // Limit is what a team may use over all entries together. The zero value is
-// without limit.
+// unlimited.
 type Limit struct {
-	// PerSecond is in units a second. Zero means without limit.
+	// PerSecond is in units per second. Zero means unlimited.
 	PerSecond float64
-	// Burst is how many units may be used at once beside that.
+	// Burst is how many units may be used at once in addition to that.
 	Burst float64
 	Unit  Unit
-	// Plain is what a request counts that names no tokens, where tokens are
-	// counted.
+	// Plain is the cost of a request that names no number of tokens, if the limit
+	// counts tokens.
 	Plain float64
 }
 
 // Bounded reports whether there is a limit.
 func (l Limit) Bounded() bool { return l.PerSecond > 0 }
 
-// Cost returns what a request counts that names so many tokens, or none.
+// Cost returns the cost of a request of the given number of tokens. named says
+// whether the request names that number.
 func (l Limit) Cost(tokens int, named bool) float64 {
 	switch {
 	case l.Unit == Requests:
@@ -51,35 +51,35 @@
 	return float64(max(0, tokens))
 }
 
-// Team is one of a customer's groups of callers.
+// Team is one of a customer's groups of clients.
 type Team struct {
-	// Name is unique and goes to targets with each request.
+	// Name is unique and is sent to targets with each request.
 	Name string
 	Keys []key.Digest
-	// Ranked says that Priority goes before that of a request's route.
+	// Ranked says that Priority takes precedence over the priority of a request's
+	// route.
 	Ranked bool
-	// Priority is the rank; 0 is the most urgent.
+	// Priority is the priority; 0 is the most urgent.
 	Priority int
 	Limit    Limit
 }
 
-// Set finds teams by their keys. The zero value has none. It does not change
-// once it is made.
+// Set is an immutable index of teams by key and by name. The zero value is empty.
 type Set struct {
-	byKey  map[key.Digest]holder
+	byKey  map[key.Digest]keyOwner
 	byName map[string]*Team
-	// limited says that some team has a limit.
+	// limited says that at least one team has a limit.
 	limited bool
 }
 
-// holder is a key and whose it is. The key stands here once more, so that it is
-// compared in constant time whatever the map does.
-type holder struct {
+// keyOwner is a key and the team that has it. The key is stored here again, so
+// that it is compared in constant time, which the map's lookup does not ensure.
+type keyOwner struct {
 	key  key.Digest
 	team *Team
 }
 
-// FaultError says what is wrong with a list of teams. It never holds a key.
+// FaultError says what is wrong with a list of teams. It never contains a key.
 type FaultError struct {
 	Team   string
 	Reason string
@@ -87,10 +87,10 @@
 
 func (e *FaultError) Error() string { return fmt.Sprintf("team %s: %s", e.Team, e.Reason) }
 
-// NewSet returns the set of the teams. It fails with a *FaultError where they do
-// not say clearly whose a key is.
+// NewSet returns the set of the teams. It fails with a *FaultError if a team has no
+// name, or if two teams have the same name or share a key.
 func NewSet(teams []Team) (Set, error) {
-	s := Set{byKey: make(map[key.Digest]holder), byName: make(map[string]*Team, len(teams))}
+	s := Set{byKey: make(map[key.Digest]keyOwner), byName: make(map[string]*Team, len(teams))}
 
 	for i := range teams {
 		t := &teams[i]
@@ -111,20 +111,20 @@
 				return Set{}, &FaultError{Team: t.Name, Reason: "has a key of team " + other.team.Name}
 			}
 
-			s.byKey[k] = holder{key: k, team: t}
+			s.byKey[k] = keyOwner{key: k, team: t}
 		}
 	}
 
 	return s, nil
 }
 
-// Len returns how many teams there are.
+// Len returns the number of teams.
 func (s *Set) Len() int { return len(s.byName) }
 
 // Limited reports whether any team has a limit.
 func (s *Set) Limited() bool { return s.limited }
 
-// ByKey returns the team that holds the key, or nil.
+// ByKey returns the team that has the key, or nil.
 func (s *Set) ByKey(k key.Digest) *Team {
 	h, ok := s.byKey[k]
 	if !ok || subtle.ConstantTimeCompare(h.key[:], k[:]) != 1 {
@@ -137,7 +137,7 @@
 // ByName returns the team with the name, or nil.
 func (s *Set) ByName(name string) *Team { return s.byName[name] }
 
-// All returns all teams, by name.
+// All returns all teams, sorted by name.
 func (s *Set) All() []Team {
 	out := make([]Team, 0, len(s.byName))
 	for _, t := range s.byName {
@@ -149,9 +149,9 @@
 	return out
 }
 
-// Narrow returns the teams whose limit does not even allow one request, as
-// errors for whoever puts them in force: such a team is refused everything or
-// nearly so, which is seldom meant.
+// Narrow returns an error for each team whose burst does not allow even one
+// request. Such a team is refused all or nearly all requests, which is seldom
+// intended, so the configuration that contains it should be reported.
 func (s *Set) Narrow() []error {
 	var out []error
 
--- a/internal/customer/team/team_test.go
+++ b/internal/customer/team/team_test.go
@@ -79,7 +79,8 @@
 	assert.Equal(t, tokens.Cost(0, false), 200.0)
 }
 
-// BenchmarkByKey is one look at 100 teams with 100 keys each, digest included.
+// BenchmarkByKey measures one lookup among 100 teams with 100 keys each, including
+// the digest.
 func BenchmarkByKey(b *testing.B) {
 	teams := make([]Team, 100)
 	for i := range teams {
--- a/internal/fleet/clock/boot.go
+++ b/internal/fleet/clock/boot.go
@@ -7,31 +7,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// suspended is how long the machine had been suspended when first asked.
-var suspended = sync.OnceValue(sleptSinceBoot)
+// suspendedAtStart is how long the machine had been suspended at the first call.
+var suspendedAtStart = sync.OnceValue(suspendedSinceBoot)
 
-// Now returns the runtime's clock, moved on by the time that the machine was
+// Now returns the runtime's clock, advanced by the time that the machine was
 // suspended since the process started.
 //
-// It guards against a holder that was suspended past its lease: the steady
-// clock does not count that time, so the lease would still look valid. Never
-// the time of day is used, which jumps.
+// It guards against a holder that was suspended past the end of its lease: the
+// monotonic clock does not count that time, so the lease would still appear valid.
+// The time of day is not used, because it jumps.
 func Now() time.Time { return time.Now().Add(Slept()) }
 
 // Slept returns how long the machine was suspended since the process started.
 func Slept() time.Duration {
-	before := suspended()
+	before := suspendedAtStart()
 
-	return max(0, sleptSinceBoot()-before)
+	return max(0, suspendedSinceBoot()-before)
 }
 
-// sleptSinceBoot returns what the boot clock counts and the steady clock does
-// not. Without a boot clock that is nothing.
-func sleptSinceBoot() time.Duration {
-	var boot, steady unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
+// suspendedSinceBoot returns the time that the boot clock counts and the monotonic
+// clock does not. Without a boot clock it returns zero.
+func suspendedSinceBoot() time.Duration {
+	var boot, monotonic unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
 		return 0
 	}
 
-	return time.Duration(boot.Nano() - steady.Nano()).Truncate(time.Millisecond)
+	return time.Duration(boot.Nano() - monotonic.Nano()).Truncate(time.Millisecond)
 }
--- a/internal/fleet/clock/clock.go
+++ b/internal/fleet/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock waits on the runtime's clock, which tests pause and advance.
+// Package clock waits on the runtime's clock, which tests can pause and advance.
 package clock
 
 import (
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Sleep waits for d. It returns the context's error if that ends first.
+// Sleep waits for d. It returns the context's error if the context ends first.
 func Sleep(ctx context.Context, d time.Duration) error {
-	// A timer that is due as it is made ends a process in which the race detector
-	// watches a test's clock.
+	// A timer that is already due when it is created crashes the process under the
+	// race detector with a test's fake clock.
 	if d <= 0 {
 		return ctx.Err()
 	}
@@ -44,8 +44,8 @@
 	return b
 }
 
-// Wait waits for wg. It returns the context's error if that ends first; wg is
-// waited for on.
+// Wait waits for wg. It returns the context's error if the context ends first; a
+// goroutine then continues to wait for wg.
 func Wait(ctx context.Context, wg *sync.WaitGroup) error {
 	done := make(chan struct{})
 
--- a/internal/fleet/clock/clock_test.go
+++ b/internal/fleet/clock/clock_test.go
@@ -11,7 +11,8 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/clock"
 )
 
-// A wait of nothing in a context that has ended was taken for one that passed.
+// TestSleepOfNothing guards against a sleep of zero that returns nil although its
+// context has ended.
 func TestSleepOfNothing(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	assert.NilError(t, clock.Sleep(ctx, 0))
@@ -24,7 +25,8 @@
 	}
 }
 
-// Waits of nothing ended the process in a test's clock under the race detector.
+// TestSleepOfNothingInBubbles guards against sleeps of zero that crash the process
+// under the race detector with a test's fake clock.
 func TestSleepOfNothingInBubbles(t *testing.T) {
 	for range 1500 {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/fleet/instance/instance.go
+++ b/internal/fleet/instance/instance.go
@@ -1,5 +1,5 @@
-// Package instance describes the machines that the platform lists: the entry
-// instances that run this program and the targets behind them.
+// Package instance describes the machines on the platform's list: the entry
+// instances, which run this program, and the targets behind them.
 package instance
 
 import (
@@ -10,13 +10,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ID names an instance. It is unique over the life of the platform's list.
+// ID names an instance. It is unique over the lifetime of the platform's list.
 type ID string
 
 // DataCentre names the zone in which an instance runs.
 type DataCentre string
 
-// Role says what an instance is for.
+// Role is the purpose of an instance.
 type Role string
 
 // The roles on the platform's list.
@@ -26,10 +26,10 @@
 	Service Role = "service"
 )
 
-// State says whether an instance may be given work.
+// State says whether an instance may receive work.
 type State string
 
-// The states on the platform's list. An instance that has gone is not listed.
+// The states on the platform's list. An instance that is gone is not listed.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
@@ -40,15 +40,15 @@
 	ID         ID
 	DataCentre DataCentre
 	Role       Role
-	// Address is where the instance accepts work: the peer protocol for an
-	// entry, the engine protocol for an engine, HTTP for a service.
+	// Address is where the instance accepts work: the peer protocol for an entry, the
+	// engine protocol for an engine, HTTP for a service.
 	Address netip.AddrPort
 	// Service is the service's name. It is empty unless Role is Service.
 	Service string
 	State   State
 }
 
-// Rank orders ids by rendezvous hashing for key, best first. Removing one id
+// Rank sorts ids by their rendezvous hash for key, highest first. Removing one id
 // leaves the order of all others unchanged.
 func Rank(key string, ids []ID) []ID {
 	type scored struct {
@@ -78,8 +78,8 @@
 	return mix(xxhash.Sum64String(key) ^ mix(xxhash.Sum64String(string(id))))
 }
 
-// mix spreads the bits of x, so that the exclusive or of two hashes orders
-// well. It is the finalizer of SplitMix64.
+// mix spreads the bits of x, because the exclusive or of two hashes alone gives a
+// poor order. It is the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/internal/fleet/inventory/inventory.go
+++ b/internal/fleet/inventory/inventory.go
@@ -1,6 +1,6 @@
-// Package inventory keeps what one process knows of the targets from the
-// platform's list, and tells a target that has gone from one whose entry is
-// missing only because the store was away. It does no I/O and reads no clock.
+// Package inventory records what one process has read of the targets in the
+// platform's list. It distinguishes a target that is gone from one whose entry is
+// missing only because the store was unavailable. It does no I/O and reads no clock.
 package inventory
 
 import (
@@ -18,22 +18,23 @@
 	Address    netip.AddrPort
 	DataCentre instance.DataCentre
 	Slots      int
-	// Leaving says that the target takes no new work.
+	// Leaving says that the target accepts no new work.
 	Leaving bool
-	// Born is when the target's process started, in milliseconds since 1970
-	// by the target's clock. Zero means that it did not say.
+	// Born is when the target's process started, in milliseconds since 1970 by the
+	// target's clock. Zero means unknown.
 	Born int64
-	// Sequence is the number in the target's entry. It may count heartbeats, so
-	// orders go by the engine's own report.
+	// Sequence is the number in the target's entry. It may count heartbeats, so the
+	// state of orders is taken from the engine's own report instead.
 	Sequence uint64
 	Held     []Held
-	// InMemory and OnDisk are the models whose weights are at hand.
+	// InMemory and OnDisk are the models whose weights are cached in memory and on
+	// disk.
 	InMemory, OnDisk []string
-	// Version is that of the list's row.
+	// Version is the version of the list's row.
 	Version uint64
 }
 
-// Held is a model on a target.
+// Held is a model that is resident on a target.
 type Held struct {
 	Model    string
 	Version  int
@@ -45,11 +46,11 @@
 	ID      instance.ID
 	Removed bool
 	Target  Target
-	// Err says why the row names no target.
+	// Err says why the row names no usable target.
 	Err error
 }
 
-// RowError says that a row of the list names no target that can be used.
+// RowError says that a row of the list names no usable target.
 type RowError struct {
 	ID     instance.ID
 	Reason string
@@ -57,8 +58,8 @@
 
 func (e *RowError) Error() string { return fmt.Sprintf("list: row %s: %s", e.ID, e.Reason) }
 
-// HistoryGoneError says that changes are no longer at hand and that the whole
-// must be read.
+// HistoryGoneError says that changes are no longer available and that the whole
+// list must be read.
 type HistoryGoneError struct{ After uint64 }
 
 func (e *HistoryGoneError) Error() string {
@@ -66,48 +67,47 @@
 }
 
 const (
-	// returnGrace is how long after the store's return an entry may be
-	// missing although its target lives. The store's operators say about two
-	// seconds; a target that left must be dropped within two, so this stays
-	// below.
-	returnGrace = 1700 * time.Millisecond
-	// outage is from how long the store must have failed for entries to have
-	// lapsed. Targets lapse after three heartbeats of 1.2 s; an entry that looks
-	// seldom notices the failure up to three seconds late.
-	outage = 500 * time.Millisecond
+	// recoveryGrace is how long after the store's recovery an entry may be missing
+	// although its target is alive. The store's operators state about two seconds; a
+	// target that left must be dropped within two seconds, so the grace is shorter.
+	recoveryGrace = 1700 * time.Millisecond
+	// minOutage is how long the store must have failed for entries to have expired.
+	// Targets expire after three heartbeats of 1.2 s, but an entry that reads the
+	// store seldom notices the failure up to three seconds late.
+	minOutage = 500 * time.Millisecond
 )
 
-// Book is what is known of the targets. The zero value is empty. It is not
-// safe for concurrent use.
+// Book is the record of the known targets. The zero value is empty. It is not safe
+// for concurrent use.
 type Book struct {
 	targets map[instance.ID]Target
-	// missing are targets whose entries vanished around an outage, and until
-	// when they are kept.
+	// missing maps targets whose entries vanished around an outage to the time until
+	// which they are retained.
 	missing map[instance.ID]time.Time
-	// lost is when the store first failed since it last answered; zero means
+	// failedSince is when the store first failed after its last answer; zero means
 	// that it has not.
-	lost time.Time
-	// back is when the store last returned from an outage.
-	back time.Time
+	failedSince time.Time
+	// recoveredAt is when the store last recovered from an outage.
+	recoveredAt time.Time
 }
 
 // Heard records that the store answered at now.
 func (b *Book) Heard(now time.Time) {
-	if !b.lost.IsZero() && now.Sub(b.lost) > outage {
-		b.back = now
+	if !b.failedSince.IsZero() && now.Sub(b.failedSince) > minOutage {
+		b.recoveredAt = now
 	}
 
-	b.lost = time.Time{}
+	b.failedSince = time.Time{}
 }
 
 // Failed records that the store did not answer at now.
 func (b *Book) Failed(now time.Time) {
-	if b.lost.IsZero() {
-		b.lost = now
+	if b.failedSince.IsZero() {
+		b.failedSince = now
 	}
 }
 
-// Apply takes in changes and returns what they changed.
+// Apply applies changed rows.
 func (b *Book) Apply(changes []Change, now time.Time) {
 	if b.targets == nil {
 		b.targets = make(map[instance.ID]Target)
@@ -127,7 +127,7 @@
 	}
 }
 
-// Replace takes in the whole list.
+// Replace applies the whole list.
 func (b *Book) Replace(all []Change, now time.Time) {
 	listed := make(map[instance.ID]bool, len(all))
 	for _, c := range all {
@@ -143,31 +143,31 @@
 	b.Apply(all, now)
 }
 
-// remove drops a target, at once unless its entry may have lapsed while the
-// store was away.
+// remove drops a target, at once unless its entry may have expired during an outage
+// of the store.
 //
-// It guards against an outage that makes all targets look gone: their entries
-// lapse while nobody can write, and dropping them would refuse every request
-// for as long as they take to come back.
+// After an outage all targets appear to be gone: their entries expired while no
+// instance could write. Dropping them would refuse every request until they had
+// written their entries again.
 func (b *Book) remove(id instance.ID, now time.Time) {
 	t, ok := b.targets[id]
 	if !ok {
 		return
 	}
 
-	if t.Leaving || b.back.IsZero() || now.Sub(b.back) > returnGrace {
+	if t.Leaving || b.recoveredAt.IsZero() || now.Sub(b.recoveredAt) > recoveryGrace {
 		delete(b.targets, id)
 
 		return
 	}
 
 	if _, waits := b.missing[id]; !waits {
-		b.missing[id] = b.back.Add(returnGrace)
+		b.missing[id] = b.recoveredAt.Add(recoveryGrace)
 	}
 }
 
-// Expire drops the targets that did not come back in time. It reports whether
-// there were any.
+// Expire drops the missing targets whose entries did not return in time. It reports
+// whether there were any.
 func (b *Book) Expire(now time.Time) bool {
 	dropped := false
 
@@ -185,14 +185,14 @@
 	return dropped
 }
 
-// Missing reports whether a target is kept although its entry has vanished.
+// Missing reports whether a target is retained although its entry has vanished.
 func (b *Book) Missing(id instance.ID) bool {
 	_, ok := b.missing[id]
 
 	return ok
 }
 
-// Targets returns a copy of what is known.
+// Targets returns a copy of the known targets.
 func (b *Book) Targets() map[instance.ID]Target {
 	out := make(map[instance.ID]Target, len(b.targets))
 	for id, t := range b.targets {
--- a/internal/fleet/inventory/inventory_test.go
+++ b/internal/fleet/inventory/inventory_test.go
@@ -21,28 +21,28 @@
 	return out
 }
 
-// TestRemoval holds when a target whose entry vanished is dropped. While the
-// store is away nobody can write a heartbeat, so right after its return the
-// entries of living targets are missing for up to two seconds, and dropping
-// them all would refuse every request. A pause between two looks at the store
-// is no outage: a target that left would be sent to for longer than allowed.
+// TestRemoval checks when a target whose entry vanished is dropped. While the store
+// is unavailable no heartbeat can be written, so just after its recovery the entries
+// of living targets are missing for up to two seconds, and dropping them all would
+// refuse every request. A pause between two reads of the store is no outage: after
+// one, requests would be sent to a target that left for longer than allowed.
 func TestRemoval(t *testing.T) {
 	cases := map[string]struct {
-		// failed and heard are the times at which the store did not answer and
-		// did, before the removal is read at 10000.
+		// failed and heard are the times at which the store failed and answered, before
+		// the removal is read at 10000.
 		failed, heard []int
 		leaving       bool
-		// kept is for how long the target is still known.
+		// kept is how long the target is still known.
 		kept time.Duration
 	}{
-		"in calm":                          {nil, []int{8000, 9000, 10000}, false, 0},
-		"after a long pause between looks": {nil, []int{2000, 10000}, false, 0},
-		"after one call that failed":       {[]int{9800}, []int{2000, 10000}, false, 0},
-		"right after an outage":            {[]int{4000, 6000, 9000}, []int{2000, 10000}, false, returnGrace},
-		"a second after an outage":         {[]int{4000, 6000}, []int{2000, 9000, 10000}, false, returnGrace - time.Second},
-		"long after an outage":             {[]int{3000, 5000}, []int{2000, 6000, 7000, 8000, 9000, 10000}, false, 0},
-		"leaving, right after an outage":   {[]int{4000, 6000, 9000}, []int{2000, 10000}, true, 0},
-		"at the first look":                {nil, []int{10000}, false, 0},
+		"in calm":                           {nil, []int{8000, 9000, 10000}, false, 0},
+		"after a long pause between looks":  {nil, []int{2000, 10000}, false, 0},
+		"after one call that failed":        {[]int{9800}, []int{2000, 10000}, false, 0},
+		"right after an minOutage":          {[]int{4000, 6000, 9000}, []int{2000, 10000}, false, recoveryGrace},
+		"a second after an minOutage":       {[]int{4000, 6000}, []int{2000, 9000, 10000}, false, recoveryGrace - time.Second},
+		"long after an minOutage":           {[]int{3000, 5000}, []int{2000, 6000, 7000, 8000, 9000, 10000}, false, 0},
+		"leaving, right after an minOutage": {[]int{4000, 6000, 9000}, []int{2000, 10000}, true, 0},
+		"at the first look":                 {nil, []int{10000}, false, 0},
 	}
 
 	for name, c := range cases {
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestReturn: an entry that was missing after an outage comes back in time and
-// stays.
+// TestReturn checks that a target whose entry was missing after an outage stays known
+// once the entry returns in time.
 func TestReturn(t *testing.T) {
 	var b Book
 
@@ -95,8 +95,8 @@
 	assert.Equal(t, len(b.Targets()), 1)
 }
 
-// TestBadRow: a row that anybody wrote over a target's names no target any
-// more, and the others hold.
+// TestBadRow checks that a target whose row was overwritten with an invalid one is
+// dropped, and that the other targets stay known.
 func TestBadRow(t *testing.T) {
 	var b Book
 
--- a/internal/fleet/peer/set.go
+++ b/internal/fleet/peer/set.go
@@ -10,23 +10,23 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// Terms are the times of the membership.
+// Terms are the timing of the membership.
 type Terms struct {
 	// Heartbeat is the time between two heartbeats to a peer.
 	Heartbeat time.Duration
-	// Silence is after how long without a heartbeat a peer counts as dead.
+	// Silence is how long after its last heartbeat a peer counts as dead.
 	Silence time.Duration
 	// ListLag bounds how far the platform's list lags behind.
 	ListLag time.Duration
 }
 
-// DefaultTerms fit a list that lags by a few seconds.
+// DefaultTerms are suitable for a list that lags by a few seconds.
 func DefaultTerms() Terms {
 	return Terms{Heartbeat: 500 * time.Millisecond, Silence: 2 * time.Second, ListLag: 10 * time.Second}
 }
 
-// Set is the view of all instances. Readers take no lock. The zero value is
-// empty; set Self and Terms before use.
+// Set is this entry's record of all instances. Reads take no lock. The zero value
+// is empty; set Self and Terms before use.
 type Set struct {
 	Self  instance.ID
 	Terms Terms
@@ -35,21 +35,21 @@
 	current atomic.Pointer[members]
 }
 
-// members is one immutable version of the view.
+// members is one immutable version of the record.
 type members struct {
 	listed map[instance.ID]instance.Instance
 	// listedAt is when the list was last read. Zero means never.
 	listedAt time.Time
 	// firstListed is when the list was first read. Zero means never.
 	firstListed time.Time
-	// goneSince is when an instance was first missing from the list.
-	goneSince map[instance.ID]time.Time
-	heard     map[instance.ID]heard
-	// entries are the ids of the live entries, this one included, sorted.
+	// missingSince is when an instance was first missing from the list.
+	missingSince map[instance.ID]time.Time
+	statuses     map[instance.ID]received
+	// entries are the ids of the live entries, including this one, sorted.
 	entries []instance.ID
 }
 
-type heard struct {
+type received struct {
 	Status
 
 	at time.Time
@@ -63,7 +63,7 @@
 	return &members{}
 }
 
-// List takes in the platform's list as read at now.
+// List replaces the platform's list by the one read at now.
 func (s *Set) List(all []instance.Instance, now time.Time) {
 	s.update(now, func(m *members) {
 		listed := make(map[instance.ID]instance.Instance, len(all))
@@ -73,12 +73,12 @@
 
 		for id := range m.listed {
 			if _, ok := listed[id]; !ok {
-				m.goneSince[id] = now
+				m.missingSince[id] = now
 			}
 		}
 
 		for id := range listed {
-			delete(m.goneSince, id)
+			delete(m.missingSince, id)
 		}
 
 		if m.firstListed.IsZero() {
@@ -89,9 +89,9 @@
 	})
 }
 
-// Hear takes in a peer's status, received at now.
+// Hear records a peer's status, received at now.
 func (s *Set) Hear(st Status, now time.Time) {
-	s.update(now, func(m *members) { m.heard[st.ID] = heard{Status: st, at: now} })
+	s.update(now, func(m *members) { m.statuses[st.ID] = received{Status: st, at: now} })
 }
 
 // Refresh recomputes which entries are live at now.
@@ -103,11 +103,11 @@
 
 	old := s.members()
 	next := &members{
-		listed:      old.listed,
-		listedAt:    old.listedAt,
-		firstListed: old.firstListed,
-		goneSince:   cloneMap(old.goneSince),
-		heard:       cloneMap(old.heard),
+		listed:       old.listed,
+		listedAt:     old.listedAt,
+		firstListed:  old.firstListed,
+		missingSince: cloneMap(old.missingSince),
+		statuses:     cloneMap(old.statuses),
 	}
 	change(next)
 	next.entries = next.live(s.Self, s.Terms, now)
@@ -122,11 +122,11 @@
 	return maps.Clone(m)
 }
 
-// live returns the entries that were heard lately and are not draining.
+// live returns the entries with a recent status that are not draining.
 func (m *members) live(self instance.ID, t Terms, now time.Time) []instance.ID {
 	ids := []instance.ID{self}
 
-	for id, h := range m.heard {
+	for id, h := range m.statuses {
 		if id != self && !h.Draining && now.Sub(h.at) <= t.Silence {
 			ids = append(ids, id)
 		}
@@ -137,8 +137,8 @@
 	return ids
 }
 
-// Entries returns the ids of the live entries, this one included, sorted. The
-// caller must not change the slice.
+// Entries returns the ids of the live entries, including this one, sorted. The
+// caller must not modify the slice.
 func (s *Set) Entries() []instance.ID {
 	m := s.members()
 	if m.entries == nil {
@@ -148,8 +148,7 @@
 	return m.entries
 }
 
-// Listed returns the instances of the role that are on the list, sorted by
-// id.
+// Listed returns the instances of the role that are on the list, sorted by id.
 func (s *Set) Listed(role instance.Role) []instance.Instance {
 	m := s.members()
 
@@ -182,8 +181,8 @@
 // ListedAt returns when the list was last read.
 func (s *Set) ListedAt() time.Time { return s.members().listedAt }
 
-// Gone reports whether the instance has been missing from the list for longer
-// than the list lags.
+// Gone reports whether the instance has been missing from the list for longer than
+// the list lags.
 func (s *Set) Gone(id instance.ID, now time.Time) bool {
 	m := s.members()
 	if m.listedAt.IsZero() {
@@ -194,7 +193,7 @@
 		return false
 	}
 
-	since, ok := m.goneSince[id]
+	since, ok := m.missingSince[id]
 	if !ok {
 		since = m.firstListed
 	}
@@ -202,15 +201,15 @@
 	return now.Sub(since) > s.Terms.ListLag
 }
 
-// Statuses returns the last status of every peer heard within the silence
-// bound, sorted by id.
+// Statuses returns the last status of every peer that does not count as dead,
+// sorted by id.
 func (s *Set) Statuses(now time.Time) []Status {
 	m := s.members()
 
 	var out []Status
 
-	for _, id := range slices.Sorted(maps.Keys(m.heard)) {
-		if h := m.heard[id]; now.Sub(h.at) <= s.Terms.Silence {
+	for _, id := range slices.Sorted(maps.Keys(m.statuses)) {
+		if h := m.statuses[id]; now.Sub(h.at) <= s.Terms.Silence {
 			out = append(out, h.Status)
 		}
 	}
@@ -218,16 +217,16 @@
 	return out
 }
 
-// Settled reports whether the process that ran on the instance is proved to
-// have nothing to do with the cell any more. The proof is a status of the
-// process itself, received after since; a status of a later process on the
-// same instance; or the instance's absence from the list.
+// Settled reports whether it is proved that the process that ran on the instance
+// can send no more orders for the cell. The proof is a status of the process
+// itself, received after since; a status of a later process on the same instance;
+// or the instance's absence from the list.
 func (s *Set) Settled(id instance.ID, process string, cell int, since, now time.Time) bool {
 	if s.Gone(id, now) {
 		return true
 	}
 
-	h, ok := s.members().heard[id]
+	h, ok := s.members().statuses[id]
 	if !ok || !h.at.After(since) {
 		return false
 	}
@@ -235,9 +234,9 @@
 	return h.Process != process || h.Settled(cell)
 }
 
-// Heard returns the last status of a peer, and when it came.
+// Heard returns the last status of a peer and when it was received.
 func (s *Set) Heard(id instance.ID) (Status, time.Time, bool) {
-	h, ok := s.members().heard[id]
+	h, ok := s.members().statuses[id]
 
 	return h.Status, h.at, ok
 }
--- a/internal/fleet/peer/set_test.go
+++ b/internal/fleet/peer/set_test.go
@@ -31,8 +31,8 @@
 	assert.DeepEqual(t, s.Entries(), []instance.ID{"a"})
 }
 
-// TestGone is the story of a list that lags: an instance counts as gone only
-// when it has been missing for longer than the lag, also if it was never seen.
+// TestGone covers a list that lags: an instance counts as gone only when it has been
+// missing for longer than the lag, also if it was never listed.
 func TestGone(t *testing.T) {
 	s := newSet()
 	assert.Assert(t, !s.Gone("x", after(999)), "the list was never read")
@@ -51,7 +51,7 @@
 	assert.Assert(t, !s.Gone("x", after(99)))
 }
 
-// TestSettled lists what proves that a former holder has no order in hand.
+// TestSettled lists what proves that a former holder has no order in flight.
 func TestSettled(t *testing.T) {
 	taken := after(10)
 	listed := []instance.Instance{{ID: "b", Role: instance.Entry}}
--- a/internal/fleet/peer/status.go
+++ b/internal/fleet/peer/status.go
@@ -1,5 +1,5 @@
-// Package peer keeps an entry's view of the others: who is on the platform's
-// list, who answers, and what each says of itself.
+// Package peer maintains an entry's record of the other instances: which are on
+// the platform's list, which send heartbeats, and what each reports about itself.
 package peer
 
 import (
@@ -11,28 +11,28 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/request"
 )
 
-// Lease is a lease that an instance believes to hold.
+// Lease is a lease that an instance believes it holds.
 type Lease struct {
 	Cell  int
 	Token uint64
 }
 
-// PlanCount is what an entry counted for a plan since it started.
+// PlanCount is what an entry has counted for a plan since it started.
 type PlanCount struct {
 	Plan     string
 	Running  int
 	Waiting  int
 	Answered int64
 	Tokens   int64
-	// Refused counts by code.
+	// Refused counts refusals by code.
 	Refused map[request.Code]int64
 }
 
-// Status is what an entry says of itself with each heartbeat.
+// Status is what an entry reports about itself with each heartbeat.
 type Status struct {
 	ID         instance.ID
 	DataCentre instance.DataCentre
-	// Process tells apart the processes that ran on the instance.
+	// Process distinguishes the processes that ran on the instance.
 	Process  string
 	Started  time.Time
 	Draining bool
@@ -40,19 +40,19 @@
 	// ListVersion is the version of the lists in force on the entry.
 	ListVersion uint64
 	Leases      []Lease
-	// OrdersInHand are the cells for which the process has an order that it
-	// may still send or that was not answered.
+	// OrdersInHand are the cells for which the process has an order that it may still
+	// send or that has not been answered.
 	OrdersInHand []int
-	// Leaving are targets that the entry knows to be leaving.
+	// Leaving are the targets that, as the entry has recorded, are leaving.
 	Leaving []instance.ID
-	// Poisoned are requests that crash targets.
+	// Poisoned are the fingerprints of requests that crash targets.
 	Poisoned []request.Fingerprint
 	Plans    []PlanCount
 	Clock    timeline.Stamp
 }
 
-// Settled reports whether the process has nothing to do with the cell any
-// more.
+// Settled reports whether the process neither holds the cell's lease nor has an
+// order in flight for the cell.
 func (s *Status) Settled(cell int) bool {
 	holds := slices.ContainsFunc(s.Leases, func(l Lease) bool { return l.Cell == cell })
 
--- a/internal/fleet/roll/roll.go
+++ b/internal/fleet/roll/roll.go
@@ -1,9 +1,10 @@
-// Package roll keeps the list of the entries that are alive, as each entry
-// sees it. Entries tell each other in rounds: whoever beats is alive, and a
-// beat that one entry heard reaches all within a few rounds, so that the work
-// of an entry does not grow with their number.
+// Package roll maintains the membership: the entries that are alive, as each
+// entry sees them. Entries exchange their lists by gossip in rounds. Each process
+// increments its heartbeat once a round, and a heartbeat that one entry has
+// received reaches all others within a few rounds, so the work of an entry does
+// not grow with their number.
 //
-// It does no I/O and reads no clock. The zero value knows nobody.
+// The package does no I/O and reads no clock. The zero value has no members.
 package roll
 
 import (
@@ -22,80 +23,81 @@
 type Member struct {
 	ID      instance.ID
 	Address netip.AddrPort
-	// Process tells the processes of an instance apart, and Born, the time of
-	// day of its start, which of two is the newer; zero means unknown.
+	// Process distinguishes the processes of an instance. Born is the time of day of
+	// its start and says which of two processes is the newer; zero means unknown.
 	Process string
 	Born    time.Time
 	// Strength is the share of a processor that the instance has.
 	Strength float64
-	// Beat grows by one with each round of the process.
+	// Beat is the heartbeat. It grows by one with each round of the process.
 	Beat uint64
-	// Leaving says that the process is about to end.
+	// Leaving says that the process is shutting down.
 	Leaving bool
 }
 
-// Digest says in short who is on a list and how far their beats have come.
+// Digest summarises a list: its members and their heartbeats.
 type Digest struct {
-	// Set is a hash of the members' processes, and Beats their beats in the
-	// order of their ids; a leaving member's is the highest of all.
+	// Set is a hash of the members' processes, and Beats are their heartbeats in the
+	// order of their ids. A leaving member's heartbeat is the highest possible.
 	Set   uint64
 	Beats []uint64
 }
 
-// Pulse is the beat of a process, which a hash stands for.
+// Pulse is the heartbeat of a process, which is identified by its hash.
 type Pulse struct{ Process, Beat uint64 }
 
-func processSum(process string) uint64 { return xxhash.Sum64String(process) }
+func processHash(process string) uint64 { return xxhash.Sum64String(process) }
 
-// leavingBeat is the beat of a process that is about to end: nothing that is
-// heard of it later counts.
-const leavingBeat = 1<<32 - 1
+// leavingHeartbeat is the heartbeat of a process that is shutting down. Being the
+// highest possible, it overrides any later one of that process.
+const leavingHeartbeat = 1<<32 - 1
 
 const (
-	// Everybody is up to how many members each is greeted in every round. Up
-	// to here a round costs less than what a digest saves.
+	// Everybody is the largest number of members at which an entry gossips with all
+	// of them in every round. Up to here a round costs less than a digest saves.
 	Everybody = 12
-	// fanOut is how many are greeted in a round beyond that: a beat reaches
-	// 1,200 members in five rounds.
+	// fanOut is the number of members contacted in a round of a larger membership: a
+	// heartbeat then reaches 1,200 members in five rounds.
 	fanOut = 4
-	// deadAfter is how long after its last beat a member of a small list
-	// counts as alive, two lost rounds and a little. On a large one a beat is
-	// some rounds on its way.
+	// deadAfter is how long a member of a small membership counts as alive after its
+	// last heartbeat: slightly more than two lost rounds. In a large one a heartbeat
+	// takes some rounds to arrive, so deadAfterLarge applies.
 	deadAfter      = 4 * time.Second
 	deadAfterLarge = 9 * time.Second
-	// forgetAfter is how long after its last beat a member stays on the list,
-	// and how long its process is remembered as gone after that, so that those
-	// who still list it do not bring it back.
-	forgetAfter = 30 * time.Second
+	// retention is how long a member stays on the list after its last heartbeat, and
+	// how long its tombstone is retained after that, so that entries that still list
+	// the process do not bring it back.
+	retention = 30 * time.Second
 )
 
-// entry is a member with what this instance noticed of it.
-type entry struct {
+// memberState is a member and what this instance has recorded about it.
+type memberState struct {
 	Member
 
-	// sum is the hash of its process.
-	sum uint64
-	// heard is when its beat last grew, and since when it is listed.
-	heard, since time.Time
+	// hash is the hash of its process.
+	hash uint64
+	// lastHeartbeat is when its heartbeat last grew, and listedAt when it was listed.
+	lastHeartbeat, listedAt time.Time
 }
 
 // Roll is the list of the other entries. It is not safe for concurrent use.
 type Roll struct {
-	// Self is this process. Its beat is the number of rounds.
+	// Self is this process. Its heartbeat is the number of rounds.
 	Self    Member
-	members map[instance.ID]*entry
-	// gone are the hashes of processes that were forgotten, and when.
-	gone map[uint64]time.Time
-	// order are the members by id, with nil for this process, and set is the
-	// hash of their processes. Nil means that the list has changed since.
-	order []*entry
-	set   uint64
+	members map[instance.ID]*memberState
+	// tombstones maps the hashes of processes that were removed to the time of the
+	// removal.
+	tombstones map[uint64]time.Time
+	// sorted are the members sorted by id, with nil for this process, and membersHash
+	// is the hash of their processes. sorted is nil if the list has changed since.
+	sorted      []*memberState
+	membersHash uint64
 }
 
-// Beat begins a round and returns whom to greet.
+// Beat begins a round and returns the members to contact.
 func (r *Roll) Beat(now time.Time) []Member {
 	r.Self.Beat++
-	r.forget(now)
+	r.expire(now)
 
 	if len(r.members) <= Everybody {
 		return r.All()
@@ -107,59 +109,58 @@
 	return near[:min(fanOut, len(near))]
 }
 
-// fingers returns the members one, two, four and so on places further on the
-// list. Greeting only these keeps an entry's connections few, and still brings
-// a beat to all within a few rounds.
+// fingers returns the members one, two, four and so on places after this one in
+// the order of ids. Contacting only these keeps an entry's connections few, and
+// still spreads a heartbeat to all within a few rounds.
 func (r *Roll) fingers() []Member {
 	r.sort()
 
-	own := slices.Index(r.order, nil)
+	own := slices.Index(r.sorted, nil)
 
 	var out []Member
-	for step := 1; step < len(r.order); step *= 2 {
-		out = append(out, *r.member(r.order[(own+step)%len(r.order)]))
+	for step := 1; step < len(r.sorted); step *= 2 {
+		out = append(out, *r.member(r.sorted[(own+step)%len(r.sorted)]))
 	}
 
 	return out
 }
 
-func (r *Roll) forget(now time.Time) {
+func (r *Roll) expire(now time.Time) {
 	for id, e := range r.members {
-		if now.Sub(e.heard) > forgetAfter && now.Sub(e.since) > forgetAfter {
-			r.bury(e, now)
+		if now.Sub(e.lastHeartbeat) > retention && now.Sub(e.listedAt) > retention {
+			r.addTombstone(e, now)
 			delete(r.members, id)
 
-			r.order = nil
+			r.sorted = nil
 		}
 	}
 
-	for process, at := range r.gone {
-		if now.Sub(at) > forgetAfter {
-			delete(r.gone, process)
+	for process, at := range r.tombstones {
+		if now.Sub(at) > retention {
+			delete(r.tombstones, process)
 		}
 	}
 }
 
-func (r *Roll) bury(e *entry, now time.Time) {
-	if r.gone == nil {
-		r.gone = make(map[uint64]time.Time)
+func (r *Roll) addTombstone(e *memberState, now time.Time) {
+	if r.tombstones == nil {
+		r.tombstones = make(map[uint64]time.Time)
 	}
 
-	r.gone[e.sum] = now
+	r.tombstones[e.hash] = now
 }
 
-// Meet takes in a member that was named by another or by a row. A process that
-// is listed gives way to a newer one of its instance only.
+// Meet adds a member that another entry or a row of the store names. A listed
+// process is replaced only by a newer one of the same instance.
 //
-// It guards against old rows and lists of others: where an instance has just
-// started again they name its former process, which must not take the new
-// one's place.
+// It guards against outdated rows and lists: just after an instance has restarted
+// they name its former process, which must not replace the new one.
 func (r *Roll) Meet(m Member, now time.Time) {
 	if m.ID == r.Self.ID || m.ID == "" {
 		return
 	}
 
-	if _, buried := r.gone[processSum(m.Process)]; buried {
+	if _, removed := r.tombstones[processHash(m.Process)]; removed {
 		return
 	}
 
@@ -167,57 +168,57 @@
 
 	switch {
 	case old == nil:
-		r.enlist(m, now)
+		r.insert(m, now)
 	case old.Process == m.Process:
-		old.note(m.Beat, now)
-		old.learn(m)
+		old.recordHeartbeat(m.Beat, now)
+		old.fillIn(m)
 	case m.Born.After(old.Born):
-		r.bury(old, now)
-		r.enlist(m, now)
+		r.addTombstone(old, now)
+		r.insert(m, now)
 	}
 }
 
-func (r *Roll) enlist(m Member, now time.Time) {
+func (r *Roll) insert(m Member, now time.Time) {
 	if r.members == nil {
-		r.members = make(map[instance.ID]*entry)
+		r.members = make(map[instance.ID]*memberState)
 	}
 
-	e := &entry{Member: m, sum: processSum(m.Process), since: now}
+	e := &memberState{Member: m, hash: processHash(m.Process), listedAt: now}
 	if m.Leaving {
-		e.Beat = leavingBeat
+		e.Beat = leavingHeartbeat
 	}
 
 	r.members[m.ID] = e
-	r.order = nil
+	r.sorted = nil
 }
 
-// Heard notes that a member's process was spoken with. That goes before
-// whatever was heard of its instance, also where the time of day was set
-// between two starts.
+// Heard records direct contact with a member's process. Direct contact overrides
+// all that others reported about its instance, also if the time of day was set
+// back between two starts.
 func (r *Roll) Heard(m Member, now time.Time) {
 	if m.ID == r.Self.ID || m.ID == "" {
 		return
 	}
 
-	delete(r.gone, processSum(m.Process))
+	delete(r.tombstones, processHash(m.Process))
 
 	if old := r.members[m.ID]; old != nil && old.Process != m.Process {
-		r.bury(old, now)
-		r.enlist(m, now)
+		r.addTombstone(old, now)
+		r.insert(m, now)
 	}
 
 	r.Meet(m, now)
 
 	e := r.members[m.ID]
-	e.heard = now
+	e.lastHeartbeat = now
 
 	if m.Leaving {
-		e.Beat, e.Leaving = leavingBeat, true
+		e.Beat, e.Leaving = leavingHeartbeat, true
 	}
 }
 
-// learn takes in what the member's first mention did not say.
-func (e *entry) learn(m Member) {
+// fillIn sets the fields that were unknown when the member was listed.
+func (e *memberState) fillIn(m Member) {
 	if e.Strength == 0 {
 		e.Strength = m.Strength
 	}
@@ -227,39 +228,39 @@
 	}
 }
 
-// note takes in a beat.
-func (e *entry) note(beat uint64, now time.Time) {
+// recordHeartbeat records a heartbeat if it is newer.
+func (e *memberState) recordHeartbeat(beat uint64, now time.Time) {
 	if beat <= e.Beat {
 		return
 	}
 
-	e.Beat, e.heard = beat, now
-	e.Leaving = e.Leaving || beat == leavingBeat
+	e.Beat, e.lastHeartbeat = beat, now
+	e.Leaving = e.Leaving || beat == leavingHeartbeat
 }
 
-// sort puts the members in order if the list has changed.
+// sort rebuilds the sorted members if the list has changed.
 func (r *Roll) sort() {
-	if r.order != nil {
+	if r.sorted != nil {
 		return
 	}
 
-	r.order = append(r.order, nil)
+	r.sorted = append(r.sorted, nil)
 	for _, e := range r.members {
-		r.order = append(r.order, e)
+		r.sorted = append(r.sorted, e)
 	}
 
-	slices.SortFunc(r.order, func(a, b *entry) int { return cmp.Compare(r.member(a).ID, r.member(b).ID) })
+	slices.SortFunc(r.sorted, func(a, b *memberState) int { return cmp.Compare(r.member(a).ID, r.member(b).ID) })
 
 	h := xxhash.New()
-	for _, e := range r.order {
+	for _, e := range r.sorted {
 		_, _ = h.WriteString(r.member(e).Process + " ") // A hash does not fail.
 	}
 
-	r.set = h.Sum64()
+	r.membersHash = h.Sum64()
 }
 
-// member returns what an element of the order stands for.
-func (r *Roll) member(e *entry) *Member {
+// member returns the member that an element of sorted stands for.
+func (r *Roll) member(e *memberState) *Member {
 	if e == nil {
 		return &r.Self
 	}
@@ -267,67 +268,68 @@
 	return &e.Member
 }
 
-// Digest returns this list in short.
+// Digest returns the digest of this list.
 func (r *Roll) Digest() Digest {
 	r.sort()
 
-	d := Digest{Set: r.set, Beats: make([]uint64, len(r.order))}
-	for i, e := range r.order {
+	d := Digest{Set: r.membersHash, Beats: make([]uint64, len(r.sorted))}
+	for i, e := range r.sorted {
 		d.Beats[i] = r.member(e).Beat
 	}
 
 	return d
 }
 
-// Take takes in another entry's digest. It reports false when that entry's
-// list is another, so that beats say nothing.
+// Take applies the heartbeats of another entry's digest. It reports false if that
+// entry's list has other members, so that the heartbeats cannot be assigned.
 func (r *Roll) Take(d Digest, now time.Time) bool {
 	r.sort()
 
-	if d.Set != r.set || len(d.Beats) != len(r.order) {
+	if d.Set != r.membersHash || len(d.Beats) != len(r.sorted) {
 		return false
 	}
 
-	for i, e := range r.order {
+	for i, e := range r.sorted {
 		if e != nil {
-			e.note(d.Beats[i], now)
+			e.recordHeartbeat(d.Beats[i], now)
 		}
 	}
 
 	return true
 }
 
-// Pulses returns the beats of all members and of this process, for an entry with
-// another list.
+// Pulses returns the heartbeats of all members and of this process, for an entry
+// whose list differs.
 func (r *Roll) Pulses() []Pulse {
 	out := make([]Pulse, 0, len(r.members)+1)
 	for _, e := range r.members {
-		out = append(out, Pulse{e.sum, e.Beat})
+		out = append(out, Pulse{e.hash, e.Beat})
 	}
 
-	return append(out, Pulse{processSum(r.Self.Process), r.Self.Beat})
+	return append(out, Pulse{processHash(r.Self.Process), r.Self.Beat})
 }
 
-// TakePulses takes in the beats of an entry with another list. It returns the
-// processes that are unknown here.
+// TakePulses applies the heartbeats of an entry whose list differs. It returns the
+// hashes of the processes that are unknown here.
 //
-// It answers the load of hundreds of entries of which some start or end all the
-// time: their lists differ more often than not, and few of the members are new.
+// With hundreds of entries, some of them are always starting or ending, so lists
+// differ more often than not, though by few members. Sending whole members each
+// time would cost too much.
 func (r *Roll) TakePulses(pulses []Pulse, now time.Time) []uint64 {
-	listed := make(map[uint64]*entry, len(r.members))
+	listed := make(map[uint64]*memberState, len(r.members))
 	for _, e := range r.members {
-		listed[e.sum] = e
+		listed[e.hash] = e
 	}
 
 	var unknown []uint64
 
 	for _, p := range pulses {
-		_, buried := r.gone[p.Process]
+		_, removed := r.tombstones[p.Process]
 
 		switch e := listed[p.Process]; {
 		case e != nil:
-			e.note(p.Beat, now)
-		case !buried && p.Process != processSum(r.Self.Process):
+			e.recordHeartbeat(p.Beat, now)
+		case !removed && p.Process != processHash(r.Self.Process):
 			unknown = append(unknown, p.Process)
 		}
 	}
@@ -335,7 +337,7 @@
 	return unknown
 }
 
-// Named returns the members, and this process, that hashes stand for.
+// Named returns the members, including this process, with the given hashes.
 func (r *Roll) Named(sums []uint64) []Member {
 	if len(sums) == 0 {
 		return nil
@@ -349,45 +351,45 @@
 	var out []Member
 
 	for _, e := range r.members {
-		if asked[e.sum] {
+		if asked[e.hash] {
 			out = append(out, e.Member)
 		}
 	}
 
-	if asked[processSum(r.Self.Process)] {
+	if asked[processHash(r.Self.Process)] {
 		out = append(out, r.Self)
 	}
 
 	return out
 }
 
-// Alive returns the members that beat lately and are not leaving.
+// Alive returns the members with a recent heartbeat that are not leaving.
 func (r *Roll) Alive(now time.Time) []Member {
-	return r.list(func(e *entry) bool { return r.alive(e, now) })
+	return r.filter(func(e *memberState) bool { return r.alive(e, now) })
 }
 
-func (r *Roll) alive(e *entry, now time.Time) bool {
+func (r *Roll) alive(e *memberState, now time.Time) bool {
 	limit := deadAfter
 	if len(r.members) > Everybody {
 		limit = deadAfterLarge
 	}
 
-	return !e.Leaving && now.Sub(e.heard) < limit
+	return !e.Leaving && now.Sub(e.lastHeartbeat) < limit
 }
 
-// Likely returns the members that are alive, and those that were named a moment
-// ago and have not been heard of since.
+// Likely returns the members that are alive, and those that were listed recently
+// and have not sent a heartbeat yet.
 func (r *Roll) Likely(now time.Time) []Member {
-	return r.list(func(e *entry) bool {
-		return r.alive(e, now) || !e.Leaving && e.heard.IsZero() && now.Sub(e.since) < deadAfter
+	return r.filter(func(e *memberState) bool {
+		return r.alive(e, now) || !e.Leaving && e.lastHeartbeat.IsZero() && now.Sub(e.listedAt) < deadAfter
 	})
 }
 
-// Len returns how many members there are.
+// Len returns the number of members.
 func (r *Roll) Len() int { return len(r.members) }
 
 // All returns all members.
-func (r *Roll) All() []Member { return r.list(func(*entry) bool { return true }) }
+func (r *Roll) All() []Member { return r.filter(func(*memberState) bool { return true }) }
 
 // Get returns a member.
 func (r *Roll) Get(id instance.ID) (Member, bool) {
@@ -398,11 +400,11 @@
 	return Member{}, false
 }
 
-func (r *Roll) list(want func(*entry) bool) []Member {
+func (r *Roll) filter(keep func(*memberState) bool) []Member {
 	out := make([]Member, 0, len(r.members))
 
 	for _, e := range r.members {
-		if want(e) {
+		if keep(e) {
 			out = append(out, e.Member)
 		}
 	}
--- a/internal/fleet/roll/roll_test.go
+++ b/internal/fleet/roll/roll_test.go
@@ -15,13 +15,13 @@
 
 var now = time.Unix(1000, 0)
 
-// crowd is many entries that greet each other in rounds, without a network.
+// crowd is a number of entries that gossip in rounds, without a network.
 type crowd struct {
 	t     *testing.T
 	now   time.Time
 	rolls map[instance.ID]*Roll
-	// greetings counts the calls, whole those between entries with different
-	// lists, and named the members that were told with all that is known of them.
+	// greetings counts the exchanges, whole those between entries whose lists differ,
+	// and named the members that were sent in full.
 	greetings, whole, named int
 }
 
@@ -41,7 +41,7 @@
 	r := &Roll{Self: Member{ID: id, Process: string(id) + process, Born: c.now, Address: netip.MustParseAddrPort("127.0.0.1:1")}}
 	c.rolls[id] = r
 
-	// Everybody finds one other through the store.
+	// Each entry finds a neighbour through the store.
 	for _, j := range []int{i - 1, i + 1} {
 		if other := c.rolls[instance.ID(fmt.Sprintf("e%04d", j))]; other != nil {
 			r.Meet(other.Self, c.now)
@@ -49,7 +49,7 @@
 	}
 }
 
-// greet is what both ends of a greeting do.
+// greet plays both ends of an exchange.
 func (c *crowd) greet(from *Roll, to Member) {
 	r := c.rolls[to.ID]
 	if r == nil || r.Self.Process != to.Process {
@@ -85,7 +85,7 @@
 	}
 }
 
-// all holds that everybody sees the same number of others alive.
+// all asserts that every entry lists the same number of others as alive.
 func (c *crowd) all(want int) {
 	c.t.Helper()
 
@@ -104,10 +104,10 @@
 	}
 }
 
-// TestCostOfARound: the bytes between data centres were most of what a site of
-// 83 entries cost when everybody greeted everybody with the whole list. A calm
-// round must cost each entry the same number of greetings however many there
-// are, and no whole list.
+// TestCostOfARound guards against rounds whose cost grows with the membership. With
+// whole lists exchanged between all entries, gossip was most of the traffic between
+// data centres on a site of 83 entries. In the steady state a round must cost each
+// entry the same number of exchanges whatever the membership, and no whole list.
 func TestCostOfARound(t *testing.T) {
 	for _, n := range []int{90, 300} {
 		c := newCrowd(t, n)
@@ -120,8 +120,8 @@
 	}
 }
 
-// Whenever one of hundreds of entries had started again, the others told each
-// other all that they knew of everybody, round after round.
+// TestCostOfARestart guards against entries that send each other whole lists, round
+// after round, after one of hundreds has restarted.
 func TestCostOfARestart(t *testing.T) {
 	const entries = 90
 
@@ -133,13 +133,13 @@
 	c.rounds(12)
 	c.all(entries - 1)
 
-	// The one learns of everybody, and everybody of the one.
+	// The restarted entry receives all members, and the others receive that one.
 	assert.Assert(t, c.named <= 3*entries, "%d members told", c.named)
 }
 
-// TestDeath: a third of the entries lose power at once. The others must stop
-// counting on them within the time given, and must not bring them back to each
-// other's lists after they were forgotten.
+// TestDeath covers a third of the entries losing power at once. The others must stop
+// listing them as alive within deadAfterLarge, and must not bring them back to each
+// other's lists after their removal.
 func TestDeath(t *testing.T) {
 	c := newCrowd(t, 90)
 	c.rounds(12)
@@ -151,15 +151,15 @@
 	c.rounds(int(deadAfterLarge/round) + 6)
 	c.all(59)
 
-	c.rounds(int(2 * forgetAfter / round))
+	c.rounds(int(2 * retention / round))
 
 	for id, r := range c.rolls {
 		assert.Equal(t, len(r.All()), 59, "on the list of %s", id)
 	}
 }
 
-// TestRestart: an entry starts again under its name. Everybody must know the
-// new process, and the old one's beats must not count for it.
+// TestRestart covers an entry that restarts under the same id. All others must list
+// the new process, and the old one's heartbeats must not count for it.
 func TestRestart(t *testing.T) {
 	c := newCrowd(t, 40)
 	c.rounds(12)
@@ -174,8 +174,8 @@
 	}
 }
 
-// TestLeaving: an entry says that it is about to end, to those that it greets.
-// Nobody may name it as alive afterwards, although it still beats.
+// TestLeaving covers an entry that announces its shutdown to the members it contacts.
+// No entry may list it as alive afterwards, although its heartbeat still grows.
 func TestLeaving(t *testing.T) {
 	c := newCrowd(t, 40)
 	c.rounds(12)
@@ -192,10 +192,10 @@
 	}
 }
 
-// TestOldRow: after a loss of power an entry hears an instance's new process
-// first, and then reads the row, or a peer's list, that still names the former
-// one. It must not take the new one for gone: it would not tell it any news for
-// half a minute.
+// TestOldRow guards against an outdated row or list that replaces a member's new
+// process. After a loss of power an entry is in contact with an instance's new
+// process, and then reads a row or a peer's list that still names the former one. If
+// it took the new one for gone, it would send it no updates for half a minute.
 func TestOldRow(t *testing.T) {
 	former := Member{ID: "b", Process: "b1", Born: time.Unix(100, 0)}
 	present := Member{ID: "b", Process: "b2", Born: time.Unix(200, 0)}
@@ -221,9 +221,9 @@
 	}
 }
 
-// TestStrengthIsLearnt: a member was first named by somebody who did not know
-// how strong it is. If that stayed so, every instance would think itself the
-// strongest, and all would reach for the lease at once.
+// TestStrengthIsLearnt guards against a member whose strength stays unknown because
+// the entry that first named it did not have the value. Then every instance would
+// consider itself the strongest, and all would try to acquire the lease at once.
 func TestStrengthIsLearnt(t *testing.T) {
 	r := &Roll{Self: Member{ID: "a", Process: "a1"}}
 	r.Meet(Member{ID: "b", Process: "b1"}, time.Unix(1, 0))
--- a/internal/fleet/target/engine.go
+++ b/internal/fleet/target/engine.go
@@ -1,5 +1,5 @@
-// Package target describes the back ends: model engines that batch requests
-// and load checkpoints, and what they report about themselves.
+// Package target describes the back ends: model engines that batch requests and
+// load checkpoints, and what they report about themselves.
 package target
 
 import (
@@ -10,29 +10,28 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// Engine is one model engine. Its contract is held by the suite in this
-// package's tests, which runs against the stand-in in memory and over TCP.
+// Engine is one model engine. The suite in this package's tests checks its
+// contract, against the stand-in in memory and over TCP.
 type Engine interface {
 	// Generate starts a generation. An error of type *NotLoadedError or
 	// *NotReachedError proves that nothing ran.
 	Generate(ctx context.Context, g Generation) (Stream, error)
 	// Cancel stops a generation. Cancelling an unknown one succeeds.
 	Cancel(ctx context.Context, requestID string) error
-	// Submit hands over an order. An order with an id seen before is not
-	// carried out again. An engine that checks fencing tokens refuses an old
+	// Submit sends an order. An order with an id that the engine has received before
+	// is not carried out again. An engine that checks fencing tokens refuses an old
 	// one with a *StaleTokenError.
 	Submit(ctx context.Context, o Order) (Inventory, error)
 	// Inventory returns what is loaded now.
 	Inventory(ctx context.Context) (Inventory, error)
 	// Report returns the engine's load, which lags behind.
 	Report(ctx context.Context) (Report, error)
-	// Events returns the cache events numbered above after. Numbers may be
-	// missing.
+	// Events returns the cache events numbered above after. Numbers may be missing.
 	Events(ctx context.Context, after uint64) ([]CacheEvent, error)
-	// ExportKV returns the state of a running generation.
+	// ExportKV returns the KV cache of a running generation.
 	ExportKV(ctx context.Context, requestID string) ([]byte, error)
-	// ImportKV makes a state known to this engine, so that a generation
-	// resumed here need not read its prompt again.
+	// ImportKV imports a KV cache, so that a generation resumed on this engine need
+	// not process its prompt again.
 	ImportKV(ctx context.Context, requestID string, state []byte) error
 }
 
@@ -44,24 +43,24 @@
 	Prompt string
 	// MaxTokens is positive.
 	MaxTokens int
-	// Offset is the index of the first token to send. It is above zero when a
-	// broken stream is resumed.
+	// Offset is the index of the first token to send. It is above zero when a broken
+	// stream is resumed.
 	Offset int
-	// Priority orders requests that wait for a slot, highest first.
+	// Priority orders the requests that wait for a slot, highest first.
 	Priority int
 }
 
 // Stream yields a generation's tokens in order.
 type Stream interface {
-	// Next returns the next frame. io.EOF before a frame with End set means
-	// that the stream was cut.
+	// Next returns the next frame. io.EOF before a frame with End set means that the
+	// stream was cut.
 	Next() (Frame, error)
 	Close() error
 }
 
 // Frame is one token of a stream.
 type Frame struct {
-	// RequestID is the request that the engine says the token belongs to.
+	// RequestID is the request to which the token belongs, as the engine reports it.
 	RequestID string
 	// Index is the token's position in the answer, from zero.
 	Index int
@@ -74,7 +73,7 @@
 type Order struct {
 	// ID is unique, so that an order that is sent twice is carried out once.
 	ID string
-	// Token is the fencing token of the lease under which it was decided.
+	// Token is the fencing token of the lease under which the order was decided.
 	Token  uint64
 	Action Action
 }
@@ -82,7 +81,7 @@
 // Action is what an order asks for.
 type Action interface{ action() }
 
-// Load asks to load a model, or an adapter beside its base.
+// Load asks to load a model, or an adapter with its base.
 type Load struct {
 	Model string
 	Base  string
@@ -95,7 +94,7 @@
 // ChangeRole asks the engine to change which phase it serves.
 type ChangeRole struct{ Role string }
 
-// RaiseToken asks for nothing but that older tokens be refused from now on.
+// RaiseToken asks only that older fencing tokens be refused from now on.
 type RaiseToken struct{}
 
 func (Load) action()       {}
@@ -103,7 +102,7 @@
 func (ChangeRole) action() {}
 func (RaiseToken) action() {}
 
-// Phase says how far a load has come.
+// Phase is the phase of loading or unloading a checkpoint.
 type Phase string
 
 // The phases of a checkpoint on an engine.
@@ -114,7 +113,7 @@
 	Failed    Phase = "failed"
 )
 
-// Held is a checkpoint that holds memory on an engine.
+// Held is a checkpoint that occupies memory on an engine.
 type Held struct {
 	Model string
 	Base  string
@@ -122,13 +121,13 @@
 	Phase Phase
 }
 
-// Inventory is what an engine says of itself.
+// Inventory is what an engine reports about itself.
 type Inventory struct {
-	// Incarnation changes whenever the engine's process starts anew. What an
-	// earlier incarnation had loaded is gone.
+	// Incarnation changes whenever the engine's process starts anew. What an earlier
+	// incarnation had loaded is gone.
 	Incarnation string
-	// Token is the highest fencing token seen. It is zero on engines that
-	// ignore tokens.
+	// Token is the highest fencing token received. It is zero on engines that ignore
+	// tokens.
 	Token  uint64
 	Memory int64
 	// Speed is the engine's relative speed; 1 is the slowest kind.
@@ -136,11 +135,11 @@
 	Role    string
 	Leaving bool
 	Held    []Held
-	// Cached names checkpoints that load from local memory or disk.
+	// Cached maps the checkpoints that load from local memory or disk to their tier.
 	Cached map[string]Tier
 }
 
-// Tier says where a checkpoint's bytes come from.
+// Tier is the storage from which a checkpoint's bytes are read.
 type Tier int
 
 // The tiers, fastest first.
@@ -168,8 +167,8 @@
 	Cached bool
 }
 
-// NotLoadedError says that a generation did not run, because its model is not
-// ready on the engine.
+// NotLoadedError says that a generation did not run, because its model is not ready
+// on the engine.
 type NotLoadedError struct {
 	Target instance.ID
 	Model  string
@@ -191,14 +190,14 @@
 
 func (e *NotReachedError) Unwrap() error { return e.Err }
 
-// LeavingError says that a generation did not run, because the target takes
-// no new work.
+// LeavingError says that a generation did not run, because the target accepts no
+// new work.
 type LeavingError struct{ Target instance.ID }
 
 func (e *LeavingError) Error() string { return fmt.Sprintf("target %s: leaving", e.Target) }
 
-// StaleTokenError says that an order was not carried out, because the engine
-// has seen a newer fencing token.
+// StaleTokenError says that an order was not carried out, because the engine has
+// received a newer fencing token.
 type StaleTokenError struct {
 	Target  instance.ID
 	Token   uint64
@@ -209,7 +208,7 @@
 	return fmt.Sprintf("target %s: token %d is older than %d", e.Target, e.Token, e.Highest)
 }
 
-// NoMemoryError says that a load was refused for want of memory.
+// NoMemoryError says that a load was refused because the engine lacks memory.
 type NoMemoryError struct {
 	Target instance.ID
 	Model  string
