--- a/internal/customer/limit/limit_test.go
+++ b/internal/customer/limit/limit_test.go
@@ -30,7 +30,7 @@
 		}
 		all, static := Whole(p), Static(p, entries)
 
-		var home Home
+		var owner Home
 
 		clock := now.Add(time.Hour)
 		held := make(map[instance.ID]Amount)
@@ -45,7 +45,7 @@
 				running = rapid.IntRange(0, held[id].Concurrency).Draw(t, "running")
 			}
 
-			g := home.Grant(p, Ask{Entry: id, Plan: "p", Running: running, Want: Amount{
+			g := owner.Grant(p, Ask{Entry: id, Plan: "p", Running: running, Want: Amount{
 				Rate:        rapid.Float64Range(0, 600).Draw(t, "wantRate"),
 				Concurrency: rapid.IntRange(0, 100).Draw(t, "wantConcurrency"),
 				Tokens:      rapid.Float64Range(0, 2000).Draw(t, "wantTokens"),
@@ -70,40 +70,40 @@
 			const rounding = 1e-6
 
 			if sum.Concurrency > all.Concurrency || sum.Rate > all.Rate+rounding || sum.Tokens > all.Tokens+rounding {
-				t.Fatalf("lent %+v of %+v", sum, all)
+				t.Fatalf("granted %+v of %+v", sum, all)
 			}
 		}
 	})
 }
 
-// TestNewHome checks that after a change of the membership an owner grants nothing
+// TestNewOwner checks that after a change of the membership an owner grants nothing
 // until the previous owner's grants have expired.
-func TestNewHome(t *testing.T) {
-	var home Home
+func TestNewOwner(t *testing.T) {
+	var owner Home
 
 	p := plan.Plan{Name: "p", Concurrency: 10}
 	a := Ask{Entry: "e", Plan: "p", Want: Amount{Concurrency: 5}}
 
-	home.MembershipChanged(now)
-	assert.Equal(t, home.Grant(p, a, 2, now.Add(GrantFor)).For, time.Duration(0))
-	assert.Equal(t, home.Grant(p, a, 2, now.Add(GrantFor+clockMargin)).Concurrency, 5)
+	owner.MembershipChanged(now)
+	assert.Equal(t, owner.Grant(p, a, 2, now.Add(GrantFor)).For, time.Duration(0))
+	assert.Equal(t, owner.Grant(p, a, 2, now.Add(GrantFor+clockMargin)).Concurrency, 5)
 }
 
-// TestLentAndTakenBack checks that an idle entry's part is granted to a busy one and
+// TestGrantsFollowDemand checks that an idle entry's part is granted to a busy one and
 // is available again within the lifetime of a grant.
-func TestLentAndTakenBack(t *testing.T) {
-	var home Home
+func TestGrantsFollowDemand(t *testing.T) {
+	var owner Home
 
 	p := plan.Plan{Name: "p", Concurrency: 8}
 	ask := func(id string, want, running int, at time.Duration) int {
 		a := Ask{Entry: instance.ID(id), Plan: "p", Want: Amount{Concurrency: want}, Running: running}
 
-		return home.Grant(p, a, 2, now.Add(time.Hour+at)).Concurrency
+		return owner.Grant(p, a, 2, now.Add(time.Hour+at)).Concurrency
 	}
 
-	assert.Equal(t, ask("a", 8, 0, 0), 7, "all but the other's static share")
-	assert.Equal(t, ask("b", 8, 0, 500*time.Millisecond), 1, "what is left")
-	assert.Equal(t, ask("a", 8, 2, time.Second), 4, "half, since the other wants as much")
+	assert.Equal(t, ask("a", 8, 0, 0), 7, "all but the static share of b")
+	assert.Equal(t, ask("b", 8, 0, 500*time.Millisecond), 1, "the rest")
+	assert.Equal(t, ask("a", 8, 2, time.Second), 4, "half, since b asks for as much")
 	assert.Equal(t, ask("b", 8, 2, 1100*time.Millisecond), 4)
 }
 
@@ -111,7 +111,7 @@
 type bench struct {
 	Shares
 
-	home        Home
+	owner       Home
 	plan        plan.Plan
 	unreachable bool
 }
@@ -126,7 +126,7 @@
 
 		a.Entry = "e"
 
-		return b.home.Grant(b.plan, a, 4, time.Now()), nil
+		return b.owner.Grant(b.plan, a, 4, time.Now()), nil
 	}
 
 	return b
@@ -156,10 +156,10 @@
 	})
 }
 
-// TestHomeAway covers a plan whose limit owner has died: its requests continue
+// TestOwnerUnreachable covers a plan whose limit owner has died: its requests continue
 // within the static share, and a small plan without a static share waits for the
 // next owner instead of being refused at once.
-func TestHomeAway(t *testing.T) {
+func TestOwnerUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(plan.Plan{Name: "p", Concurrency: 16})
 		b.unreachable = true
@@ -171,7 +171,7 @@
 		assert.Assert(t, !ok)
 
 		small := newBench(plan.Plan{Name: "q", Concurrency: 2})
-		small.home.MembershipChanged(time.Now())
+		small.owner.MembershipChanged(time.Now())
 
 		began := time.Now()
 		_, ok = small.Admit(t.Context(), small.plan)
--- a/internal/customer/limit/share.go
+++ b/internal/customer/limit/share.go
@@ -56,8 +56,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	have := s.amount(p, n, now)
-	s.refill(p, have, now)
+	amount := s.amount(p, n, now)
+	s.refill(p, amount, now)
 	s.decay(now)
 
 	s.recentRequests++
@@ -69,12 +69,12 @@
 	}
 
 	switch {
-	case p.Concurrency > 0 && s.running >= have.Concurrency:
+	case p.Concurrency > 0 && s.running >= amount.Concurrency:
 		return refused, GrantFor
 	case p.RequestsPerSecond > 0 && s.level < 1:
-		return refused, waitUntil(1-s.level, have.Rate)
+		return refused, waitUntil(1-s.level, amount.Rate)
 	case p.TokensPerMinute > 0 && s.tokens < 0:
-		return refused, waitUntil(-s.tokens, have.Tokens)
+		return refused, waitUntil(-s.tokens, amount.Tokens)
 	}
 
 	s.level--
@@ -102,17 +102,17 @@
 	return Static(p, n)
 }
 
-func (s *Share) refill(p plan.Plan, have Amount, now time.Time) {
+func (s *Share) refill(p plan.Plan, amount Amount, now time.Time) {
 	if s.refilledAt.IsZero() {
 		s.refilledAt = now
-		s.level = math.Max(1, have.Rate*burst)
-		s.tokens = have.Tokens * burst
+		s.level = math.Max(1, amount.Rate*burst)
+		s.tokens = amount.Tokens * burst
 	}
 
 	passed := now.Sub(s.refilledAt).Seconds()
 	s.refilledAt = now
-	s.level = min(s.level+passed*have.Rate, math.Max(1, have.Rate*burst))
-	s.tokens = min(s.tokens+passed*have.Tokens, float64(p.TokensPerMinute))
+	s.level = min(s.level+passed*amount.Rate, math.Max(1, amount.Rate*burst))
+	s.tokens = min(s.tokens+passed*amount.Tokens, float64(p.TokensPerMinute))
 }
 
 func waitUntil(missing, rate float64) time.Duration {
--- a/internal/customer/limit/shares.go
+++ b/internal/customer/limit/shares.go
@@ -8,8 +8,8 @@
 	"github.com/fulmarcross/fulmarcross/internal/customer/plan"
 )
 
-// Shares are one entry's shares of the limits of all plans. Set Ask and Entries
-// before use.
+// Shares are one entry's shares of the limits of all plans. Its exported fields
+// must be set before use.
 type Shares struct {
 	// Ask requests a grant from the plan's limit owner.
 	Ask func(ctx context.Context, a Ask) (Grant, error)
--- a/internal/customer/list/list_test.go
+++ b/internal/customer/list/list_test.go
@@ -22,11 +22,11 @@
 	return plan.Allow{Allowance: plan.Allowance{Plan: "p", Kind: plan.Model, Name: name}}
 }
 
-// TestRace guards against lost and doubled edits: eight operators edit the same list
+// TestConcurrentEdits guards against lost and doubled edits: eight operators edit the same list
 // concurrently, each retrying after a conflict, while answers of the table are
 // lost. At the end every accepted edit is present exactly once, in the order of
 // the versions.
-func TestRace(t *testing.T) {
+func TestConcurrentEdits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const operators, edits = 8, 5
 
@@ -104,7 +104,7 @@
 		assert.Equal(t, conflict.Since[0].Author, "rival")
 	})
 
-	t.Run("a repeat is harmless", func(t *testing.T) {
+	t.Run("a retry is harmless", func(t *testing.T) {
 		s := Store{Table: &platform.Platform{}}
 		first, err := s.Put(t.Context(), put)
 		assert.NilError(t, err)
@@ -118,7 +118,7 @@
 		assert.Equal(t, resolved.Version, uint64(1))
 	})
 
-	t.Run("unknown while the store is away", func(t *testing.T) {
+	t.Run("in doubt while the store is unavailable", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			p := &platform.Platform{}
 			s := Store{Table: &downAfterWrite{Platform: p}}
@@ -155,9 +155,9 @@
 	return v, err
 }
 
-// TestRegisterNeverGoesBack checks that, whatever edits and whole copies arrive in any
+// TestVersionNeverGoesBack checks that, whatever edits and whole copies arrive in any
 // order, the version only grows and the state is always that of its version.
-func TestRegisterNeverGoesBack(t *testing.T) {
+func TestVersionNeverGoesBack(t *testing.T) {
 	const edits = 20
 
 	states := []plan.State{{}}
--- a/internal/customer/quota/lender.go
+++ b/internal/customer/quota/lender.go
@@ -75,31 +75,31 @@
 // Loans returns the delegations to send, by owner, and records them as made. An
 // owner without a recent clock reading gets an empty delegation, whose reply
 // carries its clock.
-func (l *Lender) Loans(homes Homes, self instance.ID, entries int, now time.Time) map[Process]Loan {
+func (l *Lender) Loans(owners Homes, self instance.ID, entries int, now time.Time) map[Process]Loan {
 	out := make(map[Process]Loan)
 	ttl := TTL(entries)
-	settled := now.Sub(l.Started) >= ttl+clockDrift
+	formerExpired := now.Sub(l.Started) >= ttl+clockDrift
 
-	for slot, to := range homes {
+	for slot, to := range owners {
 		if to.ID == "" {
 			continue
 		}
 
-		loan, begun := out[to]
+		delegation, begun := out[to]
 		if !begun {
-			loan = Loan{Entry: self}
+			delegation = Loan{Entry: self}
 		}
 
-		h, known := l.clocks[to]
-		fresh := known && now.Sub(h.at) < ttl
+		reading, known := l.clocks[to]
+		fresh := known && now.Sub(reading.at) < ttl
 
-		if fresh && l.available(slot, to, now) && (settled || l.unusedByFormer(slot, to.ID)) {
-			loan.Slots = loan.Slots.With(slot)
-			loan.Until = h.stamp + Stamp(ttl)
-			l.bind(slot, to, h.at.Add(ttl+clockDrift))
+		if fresh && l.available(slot, to, now) && (formerExpired || l.unusedByFormer(slot, to.ID)) {
+			delegation.Slots = delegation.Slots.With(slot)
+			delegation.Until = reading.stamp + Stamp(ttl)
+			l.bind(slot, to, reading.at.Add(ttl+clockDrift))
 		}
 
-		out[to] = loan
+		out[to] = delegation
 	}
 
 	return out
@@ -129,10 +129,10 @@
 //
 // Without this, after a simultaneous restart of all entries, when nothing is
 // delegated, no team with a limit would be served until a whole TTL had passed.
-func (l *Lender) unusedByFormer(slot int, home instance.ID) bool {
+func (l *Lender) unusedByFormer(slot int, owner instance.ID) bool {
 	for _, id := range l.Former {
 		held, answered := l.held[id]
-		if id != home && (!answered || held.Has(slot)) {
+		if id != owner && (!answered || held.Has(slot)) {
 			return false
 		}
 	}
@@ -153,13 +153,13 @@
 // Heard records an owner's clock; at is when its reply arrived. It reports whether
 // there was no recent reading of that owner, in which case a delegation may follow
 // at once.
-func (l *Lender) Heard(home Process, stamp Stamp, at time.Time) bool {
+func (l *Lender) Heard(owner Process, stamp Stamp, at time.Time) bool {
 	if l.clocks == nil {
 		l.clocks = make(map[Process]clockReading)
 	}
 
-	old, known := l.clocks[home]
-	l.clocks[home] = clockReading{stamp: stamp, at: at}
+	old, known := l.clocks[owner]
+	l.clocks[owner] = clockReading{stamp: stamp, at: at}
 
 	for p, h := range l.clocks {
 		if at.Sub(h.at) > clockRetention {
@@ -172,11 +172,11 @@
 
 // Ended releases what was delegated to an owner's process that has ended or that
 // gave back all delegations.
-func (l *Lender) Ended(home Process) {
-	delete(l.clocks, home)
+func (l *Lender) Ended(owner Process) {
+	delete(l.clocks, owner)
 
 	for slot := range l.bindings {
-		if l.bindings[slot].to == home {
+		if l.bindings[slot].to == owner {
 			l.bindings[slot] = binding{}
 		}
 	}
--- a/internal/customer/quota/quota_test.go
+++ b/internal/customer/quota/quota_test.go
@@ -17,12 +17,12 @@
 
 // entry is one entry of a simulated fleet, with its process.
 type entry struct {
-	id      instance.ID
-	run     int
-	born    time.Time
-	lender  Lender
-	home    Home
-	started bool
+	id        instance.ID
+	run       int
+	born      time.Time
+	delegator Lender
+	owner     Home
+	started   bool
 	// frozenUntil is until when its process is suspended; until cutUntil it reaches
 	// no other entry and takes itself for the owner.
 	frozenUntil, cutUntil time.Time
@@ -35,7 +35,7 @@
 
 func (e *entry) start(now time.Time) {
 	e.run++
-	e.born, e.lender, e.home, e.started = now, Lender{Started: now}, Home{Slack: e.home.Slack}, true
+	e.born, e.delegator, e.owner, e.started = now, Lender{Started: now}, Home{Slack: e.owner.Slack}, true
 }
 
 // fleet simulates entries that delegate, consume and fail, and records every
@@ -44,15 +44,15 @@
 	entries []*entry
 	now     time.Time
 	limit   team.Limit
-	// late are delegations that are still in transit.
-	late []lateLoan
-	ran  []run
+	// delayed are delegations that are still in transit.
+	delayed []delayedDelegation
+	ran     []run
 }
 
-type lateLoan struct {
-	to   Process
-	loan Loan
-	at   time.Time
+type delayedDelegation struct {
+	to         Process
+	delegation Loan
+	at         time.Time
 }
 
 type run struct {
@@ -69,7 +69,7 @@
 	f := &fleet{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), limit: limit}
 
 	for i := range n {
-		e := &entry{id: instance.ID(fmt.Sprint("e", i)), home: Home{Slack: slack}}
+		e := &entry{id: instance.ID(fmt.Sprint("e", i)), owner: Home{Slack: slack}}
 		e.start(f.now)
 		f.entries = append(f.entries, e)
 	}
@@ -85,7 +85,7 @@
 
 func (f *fleet) cut(e *entry) bool { return f.now.Before(e.cutUntil) }
 
-func (f *fleet) homeOf(e *entry) *entry {
+func (f *fleet) ownerOf(e *entry) *entry {
 	if f.cut(e) {
 		return e
 	}
@@ -95,48 +95,48 @@
 
 func (f *fleet) stamp(e *entry) Stamp { return Stamp(f.now.Sub(e.born)) }
 
-// lend plays one entry's round of delegations. Each is lost, delayed or delivered
+// delegate plays one entry's round of delegations. Each is lost, delayed or delivered
 // as the schedule says.
-func (f *fleet) lend(e *entry, lost, delay bool) {
-	home := f.homeOf(e)
+func (f *fleet) delegate(e *entry, lost, delay bool) {
+	owner := f.ownerOf(e)
 
-	var homes Homes
-	for slot := range homes {
-		homes[slot] = home.process()
+	var owners Homes
+	for slot := range owners {
+		owners[slot] = owner.process()
 	}
 
 	// After a start, all entries that may have been owners are asked.
-	e.lender.Former = nil
+	e.delegator.Former = nil
 	for _, other := range f.entries[:choices] {
-		e.lender.Former = append(e.lender.Former, other.id)
+		e.delegator.Former = append(e.delegator.Former, other.id)
 
 		if f.reaches(e, other) && f.now.Sub(e.born) < time.Second {
-			e.lender.Holds(other.id, other.home.Held(e.id, f.stamp(other)))
+			e.delegator.Holds(other.id, other.owner.Held(e.id, f.stamp(other)))
 		}
 	}
 
-	for to, loan := range e.lender.Loans(homes, e.id, len(f.entries), f.now) {
+	for to, delegation := range e.delegator.Loans(owners, e.id, len(f.entries), f.now) {
 		switch {
-		case !f.reaches(e, home) || lost:
+		case !f.reaches(e, owner) || lost:
 		case delay:
-			f.late = append(f.late, lateLoan{to: to, loan: loan, at: f.now.Add(2 * time.Second)})
+			f.delayed = append(f.delayed, delayedDelegation{to: to, delegation: delegation, at: f.now.Add(2 * time.Second)})
 		default:
-			home.home.Lend(loan, len(f.entries), f.stamp(home))
-			e.lender.Heard(to, f.stamp(home), f.now)
+			owner.owner.Lend(delegation, len(f.entries), f.stamp(owner))
+			e.delegator.Heard(to, f.stamp(owner), f.now)
 		}
 	}
 }
 
 // deliver delivers the delayed delegations to the processes they were sent to.
 func (f *fleet) deliver() {
-	f.late = slices.DeleteFunc(f.late, func(l lateLoan) bool {
+	f.delayed = slices.DeleteFunc(f.delayed, func(l delayedDelegation) bool {
 		if f.now.Before(l.at) {
 			return false
 		}
 
 		for _, e := range f.entries {
 			if e.process() == l.to && f.runs(e) {
-				e.home.Lend(l.loan, len(f.entries), f.stamp(e))
+				e.owner.Lend(l.delegation, len(f.entries), f.stamp(e))
 			}
 		}
 
@@ -144,24 +144,24 @@
 	})
 }
 
-// draw asks an owner to admit a request of an entry and records it if granted.
-func (f *fleet) draw(e *entry, cost float64) Answer {
-	to, bound := e.lender.With(SlotOf(GroupOf(simulated), 0), f.now)
-	home := f.homeOf(e)
+// consume asks an owner to admit a request of an entry and records it if granted.
+func (f *fleet) consume(e *entry, cost float64) Answer {
+	to, bound := e.delegator.With(SlotOf(GroupOf(simulated), 0), f.now)
+	owner := f.ownerOf(e)
 
 	if bound {
 		for _, other := range f.entries {
 			if other.id == to.ID {
-				home = other
+				owner = other
 			}
 		}
 	}
 
-	if !f.reaches(e, home) {
+	if !f.reaches(e, owner) {
 		return Answer{}
 	}
 
-	a := home.home.Draw(simulated, f.limit, cost, len(f.entries), f.stamp(home))
+	a := owner.owner.Draw(simulated, f.limit, cost, len(f.entries), f.stamp(owner))
 	if a.Granted {
 		f.ran = append(f.ran, run{f.now, cost})
 	}
@@ -173,17 +173,17 @@
 func (f *fleet) doubled() []instance.ID {
 	var out []instance.ID
 
-	for _, lender := range f.entries {
-		homes := 0
+	for _, delegator := range f.entries {
+		owners := 0
 
 		for _, e := range f.entries {
-			if until := e.home.delegations[lender.id]; until != nil && until[SlotOf(GroupOf(simulated), 0)] > f.stamp(e) {
-				homes++
+			if until := e.owner.delegations[delegator.id]; until != nil && until[SlotOf(GroupOf(simulated), 0)] > f.stamp(e) {
+				owners++
 			}
 		}
 
-		if homes > 1 {
-			out = append(out, lender.id)
+		if owners > 1 {
+			out = append(out, delegator.id)
 		}
 	}
 
@@ -195,8 +195,8 @@
 	sum := 0.0
 
 	for _, e := range f.entries {
-		e.home.advance(len(f.entries), f.stamp(e))
-		sum += e.home.bucket(simulated, f.limit).level
+		e.owner.advance(len(f.entries), f.stamp(e))
+		sum += e.owner.bucket(simulated, f.limit).level
 	}
 
 	return sum
@@ -245,19 +245,19 @@
 
 			for _, e := range f.entries {
 				if f.runs(e) && r.IntN(3) == 0 {
-					f.lend(e, r.IntN(20) == 0, r.IntN(20) == 0)
+					f.delegate(e, r.IntN(20) == 0, r.IntN(20) == 0)
 				}
 			}
 
-			f.trouble(r)
+			f.injectFaults(r)
 
 			if doubled := f.doubled(); len(doubled) > 0 {
-				t.Fatalf("shares of %v are in two places", doubled)
+				t.Fatalf("shares of %v are used by two owners", doubled)
 			}
 
 			// ready advances the owners' state, so it is called seldom.
 			if r.IntN(30) == 0 && f.ready() > limit.Burst+rounding {
-				t.Fatalf("%.3f are ready, %.0f may", f.ready(), limit.Burst)
+				t.Fatalf("%.3f would be granted at once, the burst is %.0f", f.ready(), limit.Burst)
 			}
 
 			if f.now.Unix()%8 > 3 {
@@ -266,7 +266,7 @@
 
 			for _, e := range f.entries {
 				for f.runs(e) {
-					if a := f.draw(e, 1); !a.Granted {
+					if a := f.consume(e, 1); !a.Granted {
 						break
 					}
 				}
@@ -277,14 +277,14 @@
 
 		most := limit.PerSecond*window.Seconds() + limit.Burst
 		if got := f.worst(window); got > most {
-			t.Fatalf("%.0f ran in a window, %.0f may", got, most)
+			t.Fatalf("%.0f ran in a window, the limit is %.0f", got, most)
 		}
 	})
 
 	assert.Assert(t, served > 0)
 }
 
-func (f *fleet) trouble(r *rand.Rand) {
+func (f *fleet) injectFaults(r *rand.Rand) {
 	e := f.entries[r.IntN(len(f.entries))]
 	switch r.IntN(150) {
 	case 0, 1:
@@ -309,11 +309,11 @@
 	}
 }
 
-// TestServesTheLimit checks that without faults a team gets its whole limit, however
+// TestServesWholeLimit checks that without faults a team gets its whole limit, however
 // its requests are spread over the entries, also when its demand is many times
 // the limit.
-func TestServesTheLimit(t *testing.T) {
-	for name, demand := range map[string]float64{"below": 0.6, "beyond": 7.5} {
+func TestServesWholeLimit(t *testing.T) {
+	for name, demand := range map[string]float64{"below": 0.6, "above": 7.5} {
 		t.Run(name, func(t *testing.T) {
 			const (
 				rate = 104072.0
@@ -330,7 +330,7 @@
 
 				if step%5 == 0 {
 					for _, e := range f.entries {
-						f.lend(e, false, false)
+						f.delegate(e, false, false)
 					}
 				}
 
@@ -340,7 +340,7 @@
 				}
 
 				for want += demand * rate / 20; asked < want; asked += cost {
-					if a := f.draw(f.entries[step*7%84], cost); a.Granted {
+					if a := f.consume(f.entries[step*7%84], cost); a.Granted {
 						got += cost
 					} else {
 						assert.Assert(t, a.Wait > 0 && a.Wait < time.Second)
@@ -354,18 +354,18 @@
 	}
 }
 
-// TestHomeDies guards against a limit that stays unavailable after its owner dies:
+// TestOwnerDies guards against a limit that stays unavailable after its owner dies:
 // the shares are delegated elsewhere at once if the death is known, and otherwise
 // after a TTL.
-func TestHomeDies(t *testing.T) {
-	for name, known := range map[string]bool{"known": true, "silent": false} {
+func TestOwnerDies(t *testing.T) {
+	for name, known := range map[string]bool{"known": true, "unknown": false} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(12, team.Limit{PerSecond: 9000, Burst: 9000}, Slack{})
 			round := func() {
 				f.now = f.now.Add(Every(12))
 
 				for _, e := range f.entries[1:] {
-					f.lend(e, false, false)
+					f.delegate(e, false, false)
 				}
 			}
 
@@ -373,7 +373,7 @@
 				round()
 			}
 
-			a := f.draw(f.entries[1], 1500)
+			a := f.consume(f.entries[1], 1500)
 			assert.Assert(t, a.Granted)
 
 			dead := f.entries[0].process()
@@ -382,7 +382,7 @@
 			for _, e := range f.entries[1:] {
 				e.choice = 1
 				if known {
-					e.lender.Ended(dead)
+					e.delegator.Ended(dead)
 				}
 			}
 
@@ -391,7 +391,7 @@
 			for {
 				round()
 
-				if a := f.draw(f.entries[2], 1500); a.Granted {
+				if a := f.consume(f.entries[2], 1500); a.Granted {
 					break
 				}
 
@@ -407,9 +407,9 @@
 	}
 }
 
-// TestReturned checks that the cost of a request that did not run can be used again,
+// TestRefund checks that the cost of a request that did not run can be used again,
 // and that returning never yields more than the burst.
-func TestReturned(t *testing.T) {
+func TestRefund(t *testing.T) {
 	h := Home{}
 	l := team.Limit{PerSecond: 10, Burst: 10}
 	second := Stamp(time.Second)
@@ -433,9 +433,9 @@
 	assert.Equal(t, granted, 10)
 }
 
-// TestLowered guards against a bucket that keeps its old burst after the limit was
+// TestLoweredLimit guards against a bucket that keeps its old burst after the limit was
 // lowered.
-func TestLowered(t *testing.T) {
+func TestLoweredLimit(t *testing.T) {
 	h := Home{}
 	second := Stamp(time.Second)
 
@@ -457,22 +457,22 @@
 // is full, if the operators' tolerance allows it, and otherwise never.
 func TestLargeRequest(t *testing.T) {
 	l := team.Limit{PerSecond: 2700, Burst: 2700}
-	loan := Loan{Entry: "e", Slots: math.MaxUint16, Until: Stamp(time.Hour)}
+	delegation := Loan{Entry: "e", Slots: math.MaxUint16, Until: Stamp(time.Hour)}
 
 	tolerant := Home{Slack: Slack{Tolerance: 11000}}
-	tolerant.Lend(loan, 1, 0)
+	tolerant.Lend(delegation, 1, 0)
 	assert.Assert(t, !tolerant.Draw("a", l, 4300, 1, Stamp(500*time.Millisecond)).Granted)
 	assert.Assert(t, tolerant.Draw("a", l, 4300, 1, Stamp(2*time.Second)).Granted)
 
 	strict := Home{}
-	strict.Lend(loan, 1, 0)
+	strict.Lend(delegation, 1, 0)
 
 	a := strict.Draw("a", l, 4300, 1, Stamp(time.Minute))
 	assert.Assert(t, !a.Granted && a.Wait > 0)
 }
 
-// BenchmarkLend measures one delegation to an owner among 1,200 entries.
-func BenchmarkLend(b *testing.B) {
+// BenchmarkDelegate measures one delegation to an owner among 1,200 entries.
+func BenchmarkDelegate(b *testing.B) {
 	const entries = 1200
 
 	var (
@@ -491,8 +491,8 @@
 	}
 }
 
-// BenchmarkDraw measures one decision of an owner with 1,200 entries and 1,000 teams.
-func BenchmarkDraw(b *testing.B) {
+// BenchmarkConsume measures one decision of an owner with 1,200 entries and 1,000 teams.
+func BenchmarkConsume(b *testing.B) {
 	const entries = 1200
 
 	var h Home
@@ -515,9 +515,9 @@
 	}
 }
 
-// TestSettling guards against an owner that has just received a delegation and
+// TestNewDelegation guards against an owner that has just received a delegation and
 // refuses a team as if the team had used up its limit.
-func TestSettling(t *testing.T) {
+func TestNewDelegation(t *testing.T) {
 	h := Home{}
 	l := team.Limit{PerSecond: 100, Burst: 100}
 	second := Stamp(time.Second)
--- a/internal/customer/team/team.go
+++ b/internal/customer/team/team.go
@@ -87,8 +87,8 @@
 
 func (e *FaultError) Error() string { return fmt.Sprintf("team %s: %s", e.Team, e.Reason) }
 
-// NewSet returns the set of the teams. It fails with a *FaultError if a team has no
-// name, or if two teams have the same name or share a key.
+// NewSet returns the set of the teams. It fails if a team has no name, or if two
+// teams have the same name or share a key.
 func NewSet(teams []Team) (Set, error) {
 	s := Set{byKey: make(map[key.Digest]keyOwner), byName: make(map[string]*Team, len(teams))}
 
@@ -107,7 +107,7 @@
 		s.limited = s.limited || t.Limit.Bounded()
 
 		for _, k := range t.Keys {
-			if other, held := s.byKey[k]; held && other.team != t {
+			if other, found := s.byKey[k]; found && other.team != t {
 				return Set{}, &FaultError{Team: t.Name, Reason: "has a key of team " + other.team.Name}
 			}
 
--- a/internal/fleet/inventory/inventory_test.go
+++ b/internal/fleet/inventory/inventory_test.go
@@ -28,21 +28,21 @@
 // one, requests would be sent to a target that left for longer than allowed.
 func TestRemoval(t *testing.T) {
 	cases := map[string]struct {
-		// failed and heard are the times at which the store failed and answered, before
+		// failed and answered are the times at which the store failed and answered, before
 		// the removal is read at 10000.
-		failed, heard []int
-		leaving       bool
+		failed, answered []int
+		leaving          bool
 		// kept is how long the target is still known.
 		kept time.Duration
 	}{
-		"in calm":                           {nil, []int{8000, 9000, 10000}, false, 0},
-		"after a long pause between looks":  {nil, []int{2000, 10000}, false, 0},
-		"after one call that failed":        {[]int{9800}, []int{2000, 10000}, false, 0},
-		"right after an minOutage":          {[]int{4000, 6000, 9000}, []int{2000, 10000}, false, recoveryGrace},
-		"a second after an minOutage":       {[]int{4000, 6000}, []int{2000, 9000, 10000}, false, recoveryGrace - time.Second},
-		"long after an minOutage":           {[]int{3000, 5000}, []int{2000, 6000, 7000, 8000, 9000, 10000}, false, 0},
-		"leaving, right after an minOutage": {[]int{4000, 6000, 9000}, []int{2000, 10000}, true, 0},
-		"at the first look":                 {nil, []int{10000}, false, 0},
+		"in steady state":                  {nil, []int{8000, 9000, 10000}, false, 0},
+		"after a long pause between reads": {nil, []int{2000, 10000}, false, 0},
+		"after one call that failed":       {[]int{9800}, []int{2000, 10000}, false, 0},
+		"right after an outage":            {[]int{4000, 6000, 9000}, []int{2000, 10000}, false, recoveryGrace},
+		"a second after an outage":         {[]int{4000, 6000}, []int{2000, 9000, 10000}, false, recoveryGrace - time.Second},
+		"long after an outage":             {[]int{3000, 5000}, []int{2000, 6000, 7000, 8000, 9000, 10000}, false, 0},
+		"leaving, right after an outage":   {[]int{4000, 6000, 9000}, []int{2000, 10000}, true, 0},
+		"at the first read":                {nil, []int{10000}, false, 0},
 	}
 
 	for name, c := range cases {
@@ -58,7 +58,7 @@
 					b.Failed(at(ms))
 				}
 
-				if slices.Contains(c.heard, ms) {
+				if slices.Contains(c.answered, ms) {
 					b.Heard(at(ms))
 				}
 			}
--- a/internal/fleet/peer/set.go
+++ b/internal/fleet/peer/set.go
@@ -26,7 +26,7 @@
 }
 
 // Set is this entry's record of all instances. Reads take no lock. The zero value
-// is empty; set Self and Terms before use.
+// is empty; the exported fields must be set before use.
 type Set struct {
 	Self  instance.ID
 	Terms Terms
@@ -218,9 +218,9 @@
 }
 
 // Settled reports whether it is proved that the process that ran on the instance
-// can send no more orders for the cell. The proof is a status of the process
-// itself, received after since; a status of a later process on the same instance;
-// or the instance's absence from the list.
+// neither holds the cell's lease nor has an order in flight for the cell. The
+// proof is a status of the process itself, received after since; a status of a
+// later process on the same instance; or the instance's absence from the list.
 func (s *Set) Settled(id instance.ID, process string, cell int, since, now time.Time) bool {
 	if s.Gone(id, now) {
 		return true
--- a/internal/fleet/peer/set_test.go
+++ b/internal/fleet/peer/set_test.go
@@ -44,7 +44,7 @@
 	s.List(nil, after(10))
 	assert.Assert(t, !s.Gone("x", after(20)))
 	assert.Assert(t, s.Gone("x", after(21)))
-	assert.Assert(t, !s.Gone("y", after(10)), "never seen, and the list was first read ten seconds ago")
+	assert.Assert(t, !s.Gone("y", after(10)), "never listed, and the list was first read ten seconds ago")
 	assert.Assert(t, s.Gone("y", after(11)))
 
 	s.List([]instance.Instance{x}, after(22))
@@ -57,26 +57,26 @@
 	listed := []instance.Instance{{ID: "b", Role: instance.Entry}}
 
 	for name, tc := range map[string]struct {
-		hear *Status
-		at   time.Time
-		list []instance.Instance
-		want bool
+		status *Status
+		at     time.Time
+		list   []instance.Instance
+		want   bool
 	}{
-		"not heard":                       {list: listed},
-		"heard before the take-over":      {hear: &Status{ID: "b", Process: "p"}, at: after(9), list: listed},
-		"still believes to hold":          {hear: &Status{ID: "b", Process: "p", Leases: []Lease{{Cell: 3, Token: 1}}}, at: after(11), list: listed},
-		"has an order in hand":            {hear: &Status{ID: "b", Process: "p", OrdersInHand: []int{3}}, at: after(11), list: listed},
-		"has one for another cell":        {hear: &Status{ID: "b", Process: "p", OrdersInHand: []int{4}}, at: after(11), list: listed, want: true},
-		"says that it is done":            {hear: &Status{ID: "b", Process: "p"}, at: after(11), list: listed, want: true},
-		"another process on the instance": {hear: &Status{ID: "b", Process: "q", Leases: []Lease{{Cell: 3}}}, at: after(11), list: listed, want: true},
-		"off the list":                    {want: true},
+		"no status":                         {list: listed},
+		"status from before the takeover":   {status: &Status{ID: "b", Process: "p"}, at: after(9), list: listed},
+		"still believes it holds the lease": {status: &Status{ID: "b", Process: "p", Leases: []Lease{{Cell: 3, Token: 1}}}, at: after(11), list: listed},
+		"has an order in flight":            {status: &Status{ID: "b", Process: "p", OrdersInHand: []int{3}}, at: after(11), list: listed},
+		"has one for another cell":          {status: &Status{ID: "b", Process: "p", OrdersInHand: []int{4}}, at: after(11), list: listed, want: true},
+		"reports neither lease nor order":   {status: &Status{ID: "b", Process: "p"}, at: after(11), list: listed, want: true},
+		"another process on the instance":   {status: &Status{ID: "b", Process: "q", Leases: []Lease{{Cell: 3}}}, at: after(11), list: listed, want: true},
+		"off the list":                      {want: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSet()
 			s.List(tc.list, now)
 
-			if tc.hear != nil {
-				s.Hear(*tc.hear, tc.at)
+			if tc.status != nil {
+				s.Hear(*tc.status, tc.at)
 			}
 
 			assert.Equal(t, s.Settled("b", "p", 3, taken, after(12)), tc.want)
--- a/internal/fleet/roll/roll.go
+++ b/internal/fleet/roll/roll.go
@@ -23,10 +23,11 @@
 type Member struct {
 	ID      instance.ID
 	Address netip.AddrPort
-	// Process distinguishes the processes of an instance. Born is the time of day of
-	// its start and says which of two processes is the newer; zero means unknown.
+	// Process distinguishes the processes of an instance.
 	Process string
-	Born    time.Time
+	// Born is the time of day of the process's start. Of two processes of an instance
+	// it shows the newer; zero means unknown.
+	Born time.Time
 	// Strength is the share of a processor that the instance has.
 	Strength float64
 	// Beat is the heartbeat. It grows by one with each round of the process.
@@ -37,9 +38,10 @@
 
 // Digest summarises a list: its members and their heartbeats.
 type Digest struct {
-	// Set is a hash of the members' processes, and Beats are their heartbeats in the
-	// order of their ids. A leaving member's heartbeat is the highest possible.
-	Set   uint64
+	// Set is a hash of the members' processes.
+	Set uint64
+	// Beats are the members' heartbeats in the order of their ids. A leaving member's
+	// heartbeat is the highest possible.
 	Beats []uint64
 }
 
@@ -103,10 +105,10 @@
 		return r.All()
 	}
 
-	near := r.fingers()
-	rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
+	candidates := r.fingers()
+	rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 
-	return near[:min(fanOut, len(near))]
+	return candidates[:min(fanOut, len(candidates))]
 }
 
 // fingers returns the members one, two, four and so on places after this one in
@@ -115,11 +117,11 @@
 func (r *Roll) fingers() []Member {
 	r.sort()
 
-	own := slices.Index(r.sorted, nil)
+	self := slices.Index(r.sorted, nil)
 
 	var out []Member
 	for step := 1; step < len(r.sorted); step *= 2 {
-		out = append(out, *r.member(r.sorted[(own+step)%len(r.sorted)]))
+		out = append(out, *r.member(r.sorted[(self+step)%len(r.sorted)]))
 	}
 
 	return out
@@ -229,13 +231,13 @@
 }
 
 // recordHeartbeat records a heartbeat if it is newer.
-func (e *memberState) recordHeartbeat(beat uint64, now time.Time) {
-	if beat <= e.Beat {
+func (e *memberState) recordHeartbeat(heartbeat uint64, now time.Time) {
+	if heartbeat <= e.Beat {
 		return
 	}
 
-	e.Beat, e.lastHeartbeat = beat, now
-	e.Leaving = e.Leaving || beat == leavingHeartbeat
+	e.Beat, e.lastHeartbeat = heartbeat, now
+	e.Leaving = e.Leaving || heartbeat == leavingHeartbeat
 }
 
 // sort rebuilds the sorted members if the list has changed.
@@ -338,14 +340,14 @@
 }
 
 // Named returns the members, including this process, with the given hashes.
-func (r *Roll) Named(sums []uint64) []Member {
-	if len(sums) == 0 {
+func (r *Roll) Named(hashes []uint64) []Member {
+	if len(hashes) == 0 {
 		return nil
 	}
 
-	asked := make(map[uint64]bool, len(sums))
-	for _, sum := range sums {
-		asked[sum] = true
+	asked := make(map[uint64]bool, len(hashes))
+	for _, hash := range hashes {
+		asked[hash] = true
 	}
 
 	var out []Member
--- a/internal/fleet/roll/roll_test.go
+++ b/internal/fleet/roll/roll_test.go
@@ -15,20 +15,20 @@
 
 var now = time.Unix(1000, 0)
 
-// crowd is a number of entries that gossip in rounds, without a network.
-type crowd struct {
+// gossipGroup is a number of entries that gossip in rounds, without a network.
+type gossipGroup struct {
 	t     *testing.T
 	now   time.Time
-	rolls map[instance.ID]*Roll
-	// greetings counts the exchanges, whole those between entries whose lists differ,
+	lists map[instance.ID]*Roll
+	// exchanges counts the exchanges, differing those between entries whose lists differ,
 	// and named the members that were sent in full.
-	greetings, whole, named int
+	exchanges, differing, sent int
 }
 
-func newCrowd(t *testing.T, n int) *crowd {
+func newGroup(t *testing.T, n int) *gossipGroup {
 	t.Helper()
 
-	c := &crowd{t: t, now: now, rolls: make(map[instance.ID]*Roll)}
+	c := &gossipGroup{t: t, now: now, lists: make(map[instance.ID]*Roll)}
 	for i := range n {
 		c.start(i, "first")
 	}
@@ -36,124 +36,124 @@
 	return c
 }
 
-func (c *crowd) start(i int, process string) {
+func (c *gossipGroup) start(i int, process string) {
 	id := instance.ID(fmt.Sprintf("e%04d", i))
 	r := &Roll{Self: Member{ID: id, Process: string(id) + process, Born: c.now, Address: netip.MustParseAddrPort("127.0.0.1:1")}}
-	c.rolls[id] = r
+	c.lists[id] = r
 
 	// Each entry finds a neighbour through the store.
 	for _, j := range []int{i - 1, i + 1} {
-		if other := c.rolls[instance.ID(fmt.Sprintf("e%04d", j))]; other != nil {
+		if other := c.lists[instance.ID(fmt.Sprintf("e%04d", j))]; other != nil {
 			r.Meet(other.Self, c.now)
 		}
 	}
 }
 
-// greet plays both ends of an exchange.
-func (c *crowd) greet(from *Roll, to Member) {
-	r := c.rolls[to.ID]
+// exchange plays both ends of an exchange.
+func (c *gossipGroup) exchange(from *Roll, to Member) {
+	r := c.lists[to.ID]
 	if r == nil || r.Self.Process != to.Process {
 		return
 	}
 
-	c.greetings++
+	c.exchanges++
 
 	r.Heard(from.Self, c.now)
 	same := r.Take(from.Digest(), c.now)
 	from.Heard(r.Self, c.now)
 
 	if !from.Take(r.Digest(), c.now) || !same {
-		c.whole++
+		c.differing++
 
 		for _, m := range r.Named(from.TakePulses(r.Pulses(), c.now)) {
-			c.named++
+			c.sent++
 
 			from.Meet(m, c.now)
 		}
 	}
 }
 
-func (c *crowd) rounds(n int) {
+func (c *gossipGroup) rounds(n int) {
 	for range n {
 		c.now = c.now.Add(round)
 
-		for _, r := range c.rolls {
+		for _, r := range c.lists {
 			for _, to := range r.Beat(c.now) {
-				c.greet(r, to)
+				c.exchange(r, to)
 			}
 		}
 	}
 }
 
-// all asserts that every entry lists the same number of others as alive.
-func (c *crowd) all(want int) {
+// assertAlive asserts that every entry lists the same number of others as alive.
+func (c *gossipGroup) assertAlive(want int) {
 	c.t.Helper()
 
-	for id, r := range c.rolls {
-		assert.Equal(c.t, len(r.Alive(c.now)), want, "as %s sees it", id)
+	for id, r := range c.lists {
+		assert.Equal(c.t, len(r.Alive(c.now)), want, "on the list of %s", id)
 	}
 }
 
-func TestEverybodyIsFound(t *testing.T) {
+func TestMembersFound(t *testing.T) {
 	for _, n := range []int{2, 8, 90, 300} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			c := newCrowd(t, n)
+			c := newGroup(t, n)
 			c.rounds(12)
-			c.all(n - 1)
+			c.assertAlive(n - 1)
 		})
 	}
 }
 
-// TestCostOfARound guards against rounds whose cost grows with the membership. With
+// TestCostOfRound guards against rounds whose cost grows with the membership. With
 // whole lists exchanged between all entries, gossip was most of the traffic between
 // data centres on a site of 83 entries. In the steady state a round must cost each
 // entry the same number of exchanges whatever the membership, and no whole list.
-func TestCostOfARound(t *testing.T) {
+func TestCostOfRound(t *testing.T) {
 	for _, n := range []int{90, 300} {
-		c := newCrowd(t, n)
+		c := newGroup(t, n)
 		c.rounds(15)
-		c.greetings, c.whole = 0, 0
+		c.exchanges, c.differing = 0, 0
 		c.rounds(10)
 
-		assert.Equal(t, c.greetings, 10*n*fanOut)
-		assert.Equal(t, c.whole, 0)
+		assert.Equal(t, c.exchanges, 10*n*fanOut)
+		assert.Equal(t, c.differing, 0)
 	}
 }
 
-// TestCostOfARestart guards against entries that send each other whole lists, round
+// TestCostOfRestart guards against entries that send each other whole lists, round
 // after round, after one of hundreds has restarted.
-func TestCostOfARestart(t *testing.T) {
+func TestCostOfRestart(t *testing.T) {
 	const entries = 90
 
-	c := newCrowd(t, entries)
+	c := newGroup(t, entries)
 	c.rounds(15)
-	c.named = 0
+	c.sent = 0
 
 	c.start(7, "second")
 	c.rounds(12)
-	c.all(entries - 1)
+	c.assertAlive(entries - 1)
 
 	// The restarted entry receives all members, and the others receive that one.
-	assert.Assert(t, c.named <= 3*entries, "%d members told", c.named)
+	assert.Assert(t, c.sent <= 3*entries, "%d members sent in full", c.sent)
 }
 
 // TestDeath covers a third of the entries losing power at once. The others must stop
 // listing them as alive within deadAfterLarge, and must not bring them back to each
 // other's lists after their removal.
 func TestDeath(t *testing.T) {
-	c := newCrowd(t, 90)
+	c := newGroup(t, 90)
 	c.rounds(12)
 
 	for i := range 30 {
-		delete(c.rolls, instance.ID(fmt.Sprintf("e%04d", i)))
+		delete(c.lists, instance.ID(fmt.Sprintf("e%04d", i)))
 	}
 
 	c.rounds(int(deadAfterLarge/round) + 6)
-	c.all(59)
+	c.assertAlive(59)
 
 	c.rounds(int(2 * retention / round))
 
-	for id, r := range c.rolls {
+	for id, r := range c.lists {
 		assert.Equal(t, len(r.All()), 59, "on the list of %s", id)
 	}
 }
@@ -161,13 +161,13 @@
 // TestRestart covers an entry that restarts under the same id. All others must list
 // the new process, and the old one's heartbeats must not count for it.
 func TestRestart(t *testing.T) {
-	c := newCrowd(t, 40)
+	c := newGroup(t, 40)
 	c.rounds(12)
 	c.start(7, "second")
 	c.rounds(12)
-	c.all(39)
+	c.assertAlive(39)
 
-	for _, r := range c.rolls {
+	for _, r := range c.lists {
 		if m, ok := r.Get("e0007"); ok {
 			assert.Equal(t, m.Process, "e0007second")
 		}
@@ -177,17 +177,17 @@
 // TestLeaving covers an entry that announces its shutdown to the members it contacts.
 // No entry may list it as alive afterwards, although its heartbeat still grows.
 func TestLeaving(t *testing.T) {
-	c := newCrowd(t, 40)
+	c := newGroup(t, 40)
 	c.rounds(12)
 
-	leaver := c.rolls["e0003"]
+	leaver := c.lists["e0003"]
 	leaver.Self.Leaving = true
 
 	c.rounds(8)
 
-	for id, r := range c.rolls {
+	for id, r := range c.lists {
 		if id != "e0003" {
-			assert.Equal(t, len(r.Alive(c.now)), 38, "as %s sees it", id)
+			assert.Equal(t, len(r.Alive(c.now)), 38, "on the list of %s", id)
 		}
 	}
 }
@@ -206,12 +206,12 @@
 		play func(r *Roll)
 		want string
 	}{
-		"heard, then an old row":         {func(r *Roll) { r.Heard(present, now); r.Meet(former, now) }, "b2"},
-		"old row, then a newer one":      {func(r *Roll) { r.Meet(former, now); r.Meet(present, now) }, "b2"},
-		"new row, then an old one":       {func(r *Roll) { r.Meet(present, now); r.Meet(former, now) }, "b2"},
-		"row without a time":             {func(r *Roll) { r.Heard(present, now); r.Meet(Member{ID: "b", Process: "b0"}, now) }, "b2"},
-		"heard with an earlier time":     {func(r *Roll) { r.Meet(present, now); r.Heard(setBack, now) }, "b3"},
-		"taken for gone, and then heard": {func(r *Roll) { r.Meet(former, now); r.Meet(present, now); r.Heard(former, now) }, "b1"},
+		"contact, then an old row":     {func(r *Roll) { r.Heard(present, now); r.Meet(former, now) }, "b2"},
+		"old row, then a newer one":    {func(r *Roll) { r.Meet(former, now); r.Meet(present, now) }, "b2"},
+		"new row, then an old one":     {func(r *Roll) { r.Meet(present, now); r.Meet(former, now) }, "b2"},
+		"row without a time":           {func(r *Roll) { r.Heard(present, now); r.Meet(Member{ID: "b", Process: "b0"}, now) }, "b2"},
+		"contact with an earlier time": {func(r *Roll) { r.Meet(present, now); r.Heard(setBack, now) }, "b3"},
+		"taken for gone, then contact": {func(r *Roll) { r.Meet(former, now); r.Meet(present, now); r.Heard(former, now) }, "b1"},
 	} {
 		r := &Roll{Self: Member{ID: "a", Process: "a1"}}
 		tc.play(r)
@@ -221,10 +221,10 @@
 	}
 }
 
-// TestStrengthIsLearnt guards against a member whose strength stays unknown because
+// TestStrengthFilledIn guards against a member whose strength stays unknown because
 // the entry that first named it did not have the value. Then every instance would
 // consider itself the strongest, and all would try to acquire the lease at once.
-func TestStrengthIsLearnt(t *testing.T) {
+func TestStrengthFilledIn(t *testing.T) {
 	r := &Roll{Self: Member{ID: "a", Process: "a1"}}
 	r.Meet(Member{ID: "b", Process: "b1"}, time.Unix(1, 0))
 	r.Heard(Member{ID: "b", Process: "b1", Strength: 0.8}, time.Unix(2, 0))
@@ -233,7 +233,9 @@
 	assert.Equal(t, m.Strength, 0.8)
 }
 
-func TestOthersBeatsOfAnotherListSayNothing(t *testing.T) {
+// TestDigestOfOtherList guards against the heartbeats of a list with other members being
+// applied to this one.
+func TestDigestOfOtherList(t *testing.T) {
 	a := &Roll{Self: Member{ID: "a", Process: "a1"}}
 	a.Meet(Member{ID: "b", Process: "b1"}, time.Unix(1, 0))
 
