--- a/internal/customer/list/list_test.go
+++ b/internal/customer/list/list_test.go
@@ -22,9 +22,9 @@
 	return plan.Allow{Allowance: plan.Allowance{Plan: "p", Kind: plan.Model, Name: name}}
 }
 
-// TestConcurrentEdits guards against lost and doubled edits: eight operators edit the same list
-// concurrently, each retrying after a conflict, while answers of the table are
-// lost. At the end every accepted edit is present exactly once, in the order of
+// TestConcurrentEdits guards against lost and doubled edits: eight operators edit the
+// same list concurrently, each retrying after a conflict, while answers of the table
+// are lost. At the end every accepted edit is present exactly once, in the order of
 // the versions.
 func TestConcurrentEdits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -87,7 +87,7 @@
 }
 
 // TestPutOutcomes lists the outcomes of a put: accepted, in conflict, or in doubt only
-// while the store cannot be reached.
+// while the store cannot be reached. A retry after a lost answer is not applied twice.
 func TestPutOutcomes(t *testing.T) {
 	put := Put{WriteID: "w", Author: "o", Changes: []plan.Change{allow("m")}}
 
--- a/internal/customer/list/store.go
+++ b/internal/customer/list/store.go
@@ -114,8 +114,9 @@
 // maxHistory bounds the number of edits read at once.
 const maxHistory = 1000
 
-// transaction writes the version first, because the first write shows whether the
-// transaction was committed, then the history and the changed rows.
+// transaction writes the version first: table.Settle reads the first write back to
+// find out whether the transaction was committed. The history and the changed rows
+// follow.
 func transaction(e plan.Edit, versionRow uint64) table.Transaction {
 	tx := table.Transaction{
 		Conditions: []table.Condition{{Key: record.VersionKey, Version: versionRow}},
--- a/internal/customer/plan/plan.go
+++ b/internal/customer/plan/plan.go
@@ -31,7 +31,7 @@
 	TokensPerMinute   int
 	// Accelerators is how many accelerators are reserved for the plan.
 	Accelerators int
-	// Priority is from 0 to 9; 9 is the highest.
+	// Priority is from 0 to 9; the highest comes first.
 	Priority int
 	// RequestTimeout applies to requests that name no timeout.
 	RequestTimeout time.Duration
@@ -54,7 +54,7 @@
 	Name string
 }
 
-// Change is a change of one entry in one of the lists.
+// Change is a change of one plan or one allowance.
 type Change interface{ change() }
 
 // SetPlan adds or replaces a plan.
--- a/internal/customer/quota/home.go
+++ b/internal/customer/quota/home.go
@@ -1,6 +1,6 @@
-// Package quota enforces teams' limits over all entries together. Every entry
-// owns an even share of each limit and delegates parts of it, for a short time,
-// to limit owners. An owner pools what was delegated to it and decides request by
+// Package quota enforces teams' limits over all entries together. Every entry has
+// an even share of each limit and delegates parts of it, for a short time, to
+// limit owners. An owner pools what was delegated to it and decides request by
 // request. At any moment each part of a share is used in one place only, so the
 // owners together never grant more than the limit, even when entries crash,
 // restart, freeze or are partitioned, and no agreement protocol is needed. Limits
@@ -23,7 +23,6 @@
 
 const (
 	// Groups is the number of groups of limits.
-	// Groups is how many groups of limits there are.
 	Groups = 8
 	// Parts is the number of parts into which an entry divides its share of a
 	// group. Each part goes to a different owner, so that while one owner is down
@@ -54,7 +53,7 @@
 	Overrun, Tolerance float64
 }
 
-// Stamp is a time on an owner's own clock: how long its process has been running.
+// Stamp is how long an owner's process has been running, by its own clock.
 type Stamp time.Duration
 
 // Loan allows an owner to use parts of an entry's share until a given time.
@@ -66,7 +65,7 @@
 	Until Stamp
 }
 
-// Answer is an owner's decision on a request.
+// Answer says whether a request may run.
 type Answer struct {
 	Granted bool
 	// Wait is how long it takes until the team's limit has room for the request.
--- a/internal/customer/team/team.go
+++ b/internal/customer/team/team.go
@@ -59,7 +59,7 @@
 	// Ranked says that Priority takes precedence over the priority of a request's
 	// route.
 	Ranked bool
-	// Priority is the priority; 0 is the most urgent.
+	// Priority is the team's priority; 0 is the most urgent.
 	Priority int
 	Limit    Limit
 }
--- a/internal/fleet/inventory/inventory.go
+++ b/internal/fleet/inventory/inventory.go
@@ -1,5 +1,5 @@
 // Package inventory records what one process has read of the targets in the
-// platform's list. It distinguishes a target that is gone from one whose entry is
+// platform's list. It distinguishes a target that is gone from one whose row is
 // missing only because the store was unavailable. It does no I/O and reads no clock.
 package inventory
 
@@ -23,7 +23,7 @@
 	// Born is when the target's process started, in milliseconds since 1970 by the
 	// target's clock. Zero means unknown.
 	Born int64
-	// Sequence is the number in the target's entry. It may count heartbeats, so the
+	// Sequence is the number in the target's row. It may count heartbeats, so the
 	// state of orders is taken from the engine's own report instead.
 	Sequence uint64
 	Held     []Held
@@ -67,12 +67,12 @@
 }
 
 const (
-	// recoveryGrace is how long after the store's recovery an entry may be missing
+	// recoveryGrace is how long after the store's recovery a row may be missing
 	// although its target is alive. The store's operators state about two seconds; a
 	// target that left must be dropped within two seconds, so the grace is shorter.
 	recoveryGrace = 1700 * time.Millisecond
-	// minOutage is how long the store must have failed for entries to have expired.
-	// Targets expire after three heartbeats of 1.2 s, but an entry that reads the
+	// minOutage is how long the store must have failed for rows to have expired. Rows
+	// expire after three missed heartbeats of 1.2 s, but a process that reads the
 	// store seldom notices the failure up to three seconds late.
 	minOutage = 500 * time.Millisecond
 )
@@ -81,7 +81,7 @@
 // for concurrent use.
 type Book struct {
 	targets map[instance.ID]Target
-	// missing maps targets whose entries vanished around an outage to the time until
+	// missing maps targets whose rows vanished around an outage to the time until
 	// which they are retained.
 	missing map[instance.ID]time.Time
 	// failedSince is when the store first failed after its last answer; zero means
@@ -143,12 +143,12 @@
 	b.Apply(all, now)
 }
 
-// remove drops a target, at once unless its entry may have expired during an outage
+// remove drops a target, at once unless its row may have expired during an outage
 // of the store.
 //
-// After an outage all targets appear to be gone: their entries expired while no
+// After an outage all targets appear to be gone: their rows expired while no
 // instance could write. Dropping them would refuse every request until they had
-// written their entries again.
+// written their rows again.
 func (b *Book) remove(id instance.ID, now time.Time) {
 	t, ok := b.targets[id]
 	if !ok {
@@ -166,7 +166,7 @@
 	}
 }
 
-// Expire drops the missing targets whose entries did not return in time. It reports
+// Expire drops the missing targets whose rows did not return in time. It reports
 // whether there were any.
 func (b *Book) Expire(now time.Time) bool {
 	dropped := false
@@ -185,7 +185,7 @@
 	return dropped
 }
 
-// Missing reports whether a target is retained although its entry has vanished.
+// Missing reports whether a target is retained although its row has vanished.
 func (b *Book) Missing(id instance.ID) bool {
 	_, ok := b.missing[id]
 
--- a/internal/fleet/inventory/inventory_test.go
+++ b/internal/fleet/inventory/inventory_test.go
@@ -21,15 +21,16 @@
 	return out
 }
 
-// TestRemoval checks when a target whose entry vanished is dropped. While the store
-// is unavailable no heartbeat can be written, so just after its recovery the entries
-// of living targets are missing for up to two seconds, and dropping them all would
-// refuse every request. A pause between two reads of the store is no outage: after
-// one, requests would be sent to a target that left for longer than allowed.
+// TestRemoval checks when a target whose row vanished is dropped. While the store is
+// unavailable no heartbeat can be written, so just after its recovery the rows of
+// living targets are missing for up to two seconds, and dropping them all would
+// refuse every request. A long pause between two reads of the store is no outage:
+// if it counted as one, a target that left would receive requests for longer than
+// allowed.
 func TestRemoval(t *testing.T) {
 	cases := map[string]struct {
-		// failed and answered are the times at which the store failed and answered, before
-		// the removal is read at 10000.
+		// failed and answered are the times at which the store failed and answered. The
+		// removal is read at 10000.
 		failed, answered []int
 		leaving          bool
 		// kept is how long the target is still known.
@@ -80,8 +81,8 @@
 	}
 }
 
-// TestReturn checks that a target whose entry was missing after an outage stays known
-// once the entry returns in time.
+// TestReturn checks that a target whose row was missing after an outage stays known
+// once the row returns in time.
 func TestReturn(t *testing.T) {
 	var b Book
 
--- a/internal/fleet/peer/set.go
+++ b/internal/fleet/peer/set.go
@@ -10,7 +10,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// Terms are the timing of the membership.
+// Terms holds the durations that the membership depends on.
 type Terms struct {
 	// Heartbeat is the time between two heartbeats to a peer.
 	Heartbeat time.Duration
@@ -20,7 +20,7 @@
 	ListLag time.Duration
 }
 
-// DefaultTerms are suitable for a list that lags by a few seconds.
+// DefaultTerms returns durations for a list that lags by a few seconds.
 func DefaultTerms() Terms {
 	return Terms{Heartbeat: 500 * time.Millisecond, Silence: 2 * time.Second, ListLag: 10 * time.Second}
 }
--- a/internal/fleet/peer/status.go
+++ b/internal/fleet/peer/status.go
@@ -43,7 +43,7 @@
 	// OrdersInHand are the cells for which the process has an order that it may still
 	// send or that has not been answered.
 	OrdersInHand []int
-	// Leaving are the targets that, as the entry has recorded, are leaving.
+	// Leaving are the targets that the entry has recorded as leaving.
 	Leaving []instance.ID
 	// Poisoned are the fingerprints of requests that crash targets.
 	Poisoned []request.Fingerprint
--- a/internal/fleet/roll/roll_test.go
+++ b/internal/fleet/roll/roll_test.go
@@ -20,8 +20,8 @@
 	t     *testing.T
 	now   time.Time
 	lists map[instance.ID]*Roll
-	// exchanges counts the exchanges, differing those between entries whose lists differ,
-	// and named the members that were sent in full.
+	// exchanges counts all exchanges, differing those between entries whose lists
+	// differ, and sent the members that were sent in full.
 	exchanges, differing, sent int
 }
 
@@ -104,10 +104,11 @@
 	}
 }
 
-// TestCostOfRound guards against rounds whose cost grows with the membership. With
-// whole lists exchanged between all entries, gossip was most of the traffic between
-// data centres on a site of 83 entries. In the steady state a round must cost each
-// entry the same number of exchanges whatever the membership, and no whole list.
+// TestCostOfRound guards against rounds whose cost grows with the membership. When
+// all entries sent their whole lists to all others, the bytes between data centres
+// were most of the cost of a site of 83 entries. In the steady state a round must
+// cost each entry the same number of exchanges whatever the membership, and no whole
+// list.
 func TestCostOfRound(t *testing.T) {
 	for _, n := range []int{90, 300} {
 		c := newGroup(t, n)
@@ -120,8 +121,8 @@
 	}
 }
 
-// TestCostOfRestart guards against entries that send each other whole lists, round
-// after round, after one of hundreds has restarted.
+// TestCostOfRestart guards against entries that send each other all members, round
+// after round, whenever one of hundreds has restarted.
 func TestCostOfRestart(t *testing.T) {
 	const entries = 90
 
--- a/internal/fleet/target/engine.go
+++ b/internal/fleet/target/engine.go
@@ -10,7 +10,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// Engine is one model engine. The suite in this package's tests checks its
+// Engine is one model engine. The tests of internal/standin/engine check its
 // contract, against the stand-in in memory and over TCP.
 type Engine interface {
 	// Generate starts a generation. An error of type *NotLoadedError or
@@ -28,10 +28,10 @@
 	Report(ctx context.Context) (Report, error)
 	// Events returns the cache events numbered above after. Numbers may be missing.
 	Events(ctx context.Context, after uint64) ([]CacheEvent, error)
-	// ExportKV returns the KV cache of a running generation.
+	// ExportKV returns the state (KV cache) of a running generation.
 	ExportKV(ctx context.Context, requestID string) ([]byte, error)
-	// ImportKV imports a KV cache, so that a generation resumed on this engine need
-	// not process its prompt again.
+	// ImportKV imports a generation's state, so that a generation resumed on this
+	// engine need not process its prompt again.
 	ImportKV(ctx context.Context, requestID string, state []byte) error
 }
 
@@ -81,7 +81,7 @@
 // Action is what an order asks for.
 type Action interface{ action() }
 
-// Load asks to load a model, or an adapter with its base.
+// Load asks to load a model, or an adapter next to its base model.
 type Load struct {
 	Model string
 	Base  string
