--- a/internal/customer/limit/limit_test.go
+++ b/internal/customer/limit/limit_test.go
@@ -16,9 +16,9 @@
 
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// TestSumOfGrants is the story of a plan whose requests come through many
-// entries: whatever they ask for, in whichever order, all grants that have not
-// run out and the static shares of entries without one stay within the plan's
+// TestSumOfGrants guards against grants that exceed a plan's limits when its requests
+// come through many entries. Whatever the entries request, in any order, the
+// unexpired grants and the static shares of entries without one stay within the
 // limits.
 func TestSumOfGrants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -28,9 +28,9 @@
 			Name: "p", Concurrency: rapid.IntRange(1, 64).Draw(t, "concurrency"),
 			RequestsPerSecond: rapid.IntRange(1, 500).Draw(t, "rate"), TokensPerMinute: 60000,
 		}
-		all, static := Of(p), Static(p, entries)
+		all, static := Whole(p), Static(p, entries)
 
-		var home Home
+		var owner Home
 
 		clock := now.Add(time.Hour)
 		held := make(map[instance.ID]Amount)
@@ -45,7 +45,7 @@
 				running = rapid.IntRange(0, held[id].Concurrency).Draw(t, "running")
 			}
 
-			g := home.Grant(p, Ask{Entry: id, Plan: "p", Running: running, Want: Amount{
+			g := owner.Grant(p, Ask{Entry: id, Plan: "p", Running: running, Want: Amount{
 				Rate:        rapid.Float64Range(0, 600).Draw(t, "wantRate"),
 				Concurrency: rapid.IntRange(0, 100).Draw(t, "wantConcurrency"),
 				Tokens:      rapid.Float64Range(0, 2000).Draw(t, "wantTokens"),
@@ -70,63 +70,63 @@
 			const rounding = 1e-6
 
 			if sum.Concurrency > all.Concurrency || sum.Rate > all.Rate+rounding || sum.Tokens > all.Tokens+rounding {
-				t.Fatalf("lent %+v of %+v", sum, all)
+				t.Fatalf("granted %+v of %+v", sum, all)
 			}
 		}
 	})
 }
 
-// TestNewHome: after the membership changed, a home waits until the grants of
-// the former home have run out.
-func TestNewHome(t *testing.T) {
-	var home Home
+// TestNewOwner checks that after a change of the membership an owner grants nothing
+// until the previous owner's grants have expired.
+func TestNewOwner(t *testing.T) {
+	var owner Home
 
 	p := plan.Plan{Name: "p", Concurrency: 10}
 	a := Ask{Entry: "e", Plan: "p", Want: Amount{Concurrency: 5}}
 
-	home.MembershipChanged(now)
-	assert.Equal(t, home.Grant(p, a, 2, now.Add(GrantFor)).For, time.Duration(0))
-	assert.Equal(t, home.Grant(p, a, 2, now.Add(GrantFor+margin)).Concurrency, 5)
+	owner.MembershipChanged(now)
+	assert.Equal(t, owner.Grant(p, a, 2, now.Add(GrantFor)).For, time.Duration(0))
+	assert.Equal(t, owner.Grant(p, a, 2, now.Add(GrantFor+clockMargin)).Concurrency, 5)
 }
 
-// TestLentAndTakenBack: an idle entry's part is lent to a busy one, and is
-// back within the time of a grant.
-func TestLentAndTakenBack(t *testing.T) {
-	var home Home
+// TestGrantsFollowDemand checks that an idle entry's part is granted to a busy one and
+// is available again within the lifetime of a grant.
+func TestGrantsFollowDemand(t *testing.T) {
+	var owner Home
 
 	p := plan.Plan{Name: "p", Concurrency: 8}
 	ask := func(id string, want, running int, at time.Duration) int {
 		a := Ask{Entry: instance.ID(id), Plan: "p", Want: Amount{Concurrency: want}, Running: running}
 
-		return home.Grant(p, a, 2, now.Add(time.Hour+at)).Concurrency
+		return owner.Grant(p, a, 2, now.Add(time.Hour+at)).Concurrency
 	}
 
-	assert.Equal(t, ask("a", 8, 0, 0), 7, "all but the other's static share")
-	assert.Equal(t, ask("b", 8, 0, 500*time.Millisecond), 1, "what is left")
-	assert.Equal(t, ask("a", 8, 2, time.Second), 4, "half, since the other wants as much")
+	assert.Equal(t, ask("a", 8, 0, 0), 7, "all but the static share of b")
+	assert.Equal(t, ask("b", 8, 0, 500*time.Millisecond), 1, "the rest")
+	assert.Equal(t, ask("a", 8, 2, time.Second), 4, "half, since b asks for as much")
 	assert.Equal(t, ask("b", 8, 2, 1100*time.Millisecond), 4)
 }
 
-// bench is an entry's shares before a home that may be away.
+// bench is one entry's shares and a limit owner that may be unreachable.
 type bench struct {
 	Shares
 
-	home Home
-	plan plan.Plan
-	away bool
+	owner       Home
+	plan        plan.Plan
+	unreachable bool
 }
 
 func newBench(p plan.Plan) *bench {
 	b := &bench{plan: p}
 	b.Entries = func() int { return 4 }
 	b.Ask = func(_ context.Context, a Ask) (Grant, error) {
-		if b.away {
+		if b.unreachable {
 			return Grant{}, context.DeadlineExceeded
 		}
 
 		a.Entry = "e"
 
-		return b.home.Grant(b.plan, a, 4, time.Now()), nil
+		return b.owner.Grant(b.plan, a, 4, time.Now()), nil
 	}
 
 	return b
@@ -156,13 +156,13 @@
 	})
 }
 
-// TestHomeAway is the story of a plan whose home entry has died: its requests
-// go on within the static share, and a small plan that has none waits for the
-// next home rather than being refused at once.
-func TestHomeAway(t *testing.T) {
+// TestOwnerUnreachable covers a plan whose limit owner has died: its requests continue
+// within the static share, and a small plan without a static share waits for the
+// next owner instead of being refused at once.
+func TestOwnerUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(plan.Plan{Name: "p", Concurrency: 16})
-		b.away = true
+		b.unreachable = true
 
 		_, ok := b.Admit(t.Context(), b.plan)
 		assert.Assert(t, ok)
@@ -171,7 +171,7 @@
 		assert.Assert(t, !ok)
 
 		small := newBench(plan.Plan{Name: "q", Concurrency: 2})
-		small.home.MembershipChanged(time.Now())
+		small.owner.MembershipChanged(time.Now())
 
 		began := time.Now()
 		_, ok = small.Admit(t.Context(), small.plan)
@@ -180,7 +180,7 @@
 	})
 }
 
-// TestRate holds a rate against a naive count: over any ten seconds no more
+// TestRate checks the rate limit against a plain count: over ten seconds no more
 // requests are admitted than the rate and one burst allow.
 func TestRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/customer/list/list_test.go
+++ b/internal/customer/list/list_test.go
@@ -22,11 +22,11 @@
 	return plan.Allow{Allowance: plan.Allowance{Plan: "p", Kind: plan.Model, Name: name}}
 }
 
-// TestRace is the story of eight operators in one room who edit the same list
-// at once, each trying again after a conflict, while answers of the table are
-// lost: every edit that was accepted is there at the end, in the order of the
-// versions, and none is there twice.
-func TestRace(t *testing.T) {
+// TestConcurrentEdits guards against lost and doubled edits: eight operators edit the
+// same list concurrently, each retrying after a conflict, while answers of the table
+// are lost. At the end every accepted edit is present exactly once, in the order of
+// the versions.
+func TestConcurrentEdits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const operators, edits = 8, 5
 
@@ -86,8 +86,8 @@
 	})
 }
 
-// TestPutOutcomes lists what a put may say, with an answer lost at each step:
-// accepted, in conflict, or unknown only while the store cannot be asked.
+// TestPutOutcomes lists the outcomes of a put: accepted, in conflict, or in doubt only
+// while the store cannot be reached. A retry after a lost answer is not applied twice.
 func TestPutOutcomes(t *testing.T) {
 	put := Put{WriteID: "w", Author: "o", Changes: []plan.Change{allow("m")}}
 
@@ -104,7 +104,7 @@
 		assert.Equal(t, conflict.Since[0].Author, "rival")
 	})
 
-	t.Run("a repeat is harmless", func(t *testing.T) {
+	t.Run("a retry is harmless", func(t *testing.T) {
 		s := Store{Table: &platform.Platform{}}
 		first, err := s.Put(t.Context(), put)
 		assert.NilError(t, err)
@@ -118,7 +118,7 @@
 		assert.Equal(t, resolved.Version, uint64(1))
 	})
 
-	t.Run("unknown while the store is away", func(t *testing.T) {
+	t.Run("in doubt while the store is unavailable", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			p := &platform.Platform{}
 			s := Store{Table: &downAfterWrite{Platform: p}}
@@ -141,7 +141,7 @@
 	})
 }
 
-// downAfterWrite goes away as its first write takes effect.
+// downAfterWrite becomes unavailable when its first write takes effect.
 type downAfterWrite struct{ *platform.Platform }
 
 func (d *downAfterWrite) Commit(ctx context.Context, tx table.Transaction) (uint64, error) {
@@ -155,9 +155,9 @@
 	return v, err
 }
 
-// TestRegisterNeverGoesBack: whatever edits and whole copies come, in whatever
+// TestVersionNeverGoesBack checks that, whatever edits and whole copies arrive in any
 // order, the version only grows and the state is always that of its version.
-func TestRegisterNeverGoesBack(t *testing.T) {
+func TestVersionNeverGoesBack(t *testing.T) {
 	const edits = 20
 
 	states := []plan.State{{}}
