--- a/internal/customer/quota/home.go
+++ b/internal/customer/quota/home.go
@@ -53,40 +53,40 @@
 	Overrun, Tolerance float64
 }
 
-// Stamp is how long an owner's process has been running, by its own clock.
-type Stamp time.Duration
+// Uptime is how long an owner's process has been running, by its own clock.
+type Uptime time.Duration
 
-// Loan allows an owner to use parts of an entry's share until a given time.
-type Loan struct {
+// Delegation allows an owner to use parts of an entry's share until a given time.
+type Delegation struct {
 	Entry instance.ID
 	Slots SlotSet
 	// Until is on the owner's clock and is computed from the last reading that the
 	// entry received, so that a delegation that arrives late has already expired.
-	Until Stamp
+	Until Uptime
 }
 
-// Answer says whether a request may run.
-type Answer struct {
+// Decision says whether a request may run.
+type Decision struct {
 	Granted bool
 	// Wait is how long it takes until the team's limit has room for the request.
 	Wait time.Duration
 	// Part is the fraction of the limit that this owner decides on, from 0 to 1.
 	Part float64
-	// Settling says that less than a full burst has accrued in this pool, so the
+	// Filling says that less than a full burst has accrued in this pool, so the
 	// team may be refused capacity that it has not used.
-	Settling bool
+	Filling bool
 }
 
-// Home decides on the limits that entries have delegated to it. Set Slack before
+// Owner decides on the limits that entries have delegated to it. Set Slack before
 // use. The zero value has no delegations. It is not safe for concurrent use.
-type Home struct {
+type Owner struct {
 	Slack Slack
 
-	delegations map[instance.ID]*[Slots]Stamp
+	delegations map[instance.ID]*[Slots]Uptime
 	// delegated counts the delegated parts of each group. None of them expires
 	// before expiry.
 	delegated [Groups]int
-	expiry    Stamp
+	expiry    Uptime
 	pools     [Groups]pool
 	buckets   map[string]*bucket
 }
@@ -95,7 +95,7 @@
 type pool struct {
 	// part is the delegated fraction of the group's limits, from 0 to 1.
 	part float64
-	at   Stamp
+	at   Uptime
 	// accrued is the integral of part over time, in seconds of a whole limit.
 	accrued float64
 }
@@ -111,8 +111,8 @@
 	accrued float64
 }
 
-// Lend accepts a delegation. entries is a lower bound on the number of entries.
-func (h *Home) Lend(l Loan, entries int, now Stamp) {
+// Accept accepts a delegation. entries is a lower bound on the number of entries.
+func (h *Owner) Accept(l Delegation, entries int, now Uptime) {
 	if l.Until <= now {
 		return
 	}
@@ -120,12 +120,12 @@
 	h.advance(entries, now)
 
 	if h.delegations == nil {
-		h.delegations = make(map[instance.ID]*[Slots]Stamp)
+		h.delegations = make(map[instance.ID]*[Slots]Uptime)
 	}
 
 	until := h.delegations[l.Entry]
 	if until == nil {
-		until = new([Slots]Stamp)
+		until = new([Slots]Uptime)
 		h.delegations[l.Entry] = until
 	}
 
@@ -145,8 +145,8 @@
 	h.advance(entries, now)
 }
 
-// Held returns the slots of an entry's share that are delegated to this owner.
-func (h *Home) Held(entry instance.ID, now Stamp) SlotSet {
+// Delegated returns the slots of an entry's share that are delegated to this owner.
+func (h *Owner) Delegated(entry instance.ID, now Uptime) SlotSet {
 	var out SlotSet
 
 	if until := h.delegations[entry]; until != nil {
@@ -162,14 +162,14 @@
 
 // Release drops all delegations. The entries may delegate their shares to others
 // once they have been notified.
-func (h *Home) Release(now Stamp) {
+func (h *Owner) Release(now Uptime) {
 	h.delegations = nil
 	h.recount(now)
 	h.advance(1, now)
 }
 
 // recount counts the delegations that have not expired and deletes the others.
-func (h *Home) recount(now Stamp) {
+func (h *Owner) recount(now Uptime) {
 	h.delegated, h.expiry = [Groups]int{}, math.MaxInt64
 
 	for id, until := range h.delegations {
@@ -193,7 +193,7 @@
 // advance accrues the limits up to now and drops expired delegations. A pool that
 // shrinks reduces all its buckets at once, because the shares that left it now
 // fill another owner's buckets.
-func (h *Home) advance(entries int, now Stamp) {
+func (h *Owner) advance(entries int, now Uptime) {
 	if now >= h.expiry {
 		h.recount(now)
 	}
@@ -224,7 +224,7 @@
 
 // advance accrues the limits up to now. If the delegated part changed during the
 // interval, the smaller of the two values counts for all of it.
-func (p *pool) advance(part float64, now Stamp) {
+func (p *pool) advance(part float64, now Uptime) {
 	if now > p.at {
 		p.accrued += min(p.part, part) * time.Duration(now-p.at).Seconds()
 		p.at = now
@@ -239,12 +239,12 @@
 	b.accrued = p.accrued
 }
 
-// Draw decides whether a request of the named team with the given cost may run.
-func (h *Home) Draw(name string, limit team.Limit, cost float64, entries int, now Stamp) Answer {
+// Consume decides whether a request of the named team with the given cost may run.
+func (h *Owner) Consume(name string, limit team.Limit, cost float64, entries int, now Uptime) Decision {
 	h.advance(entries, now)
 
 	if !limit.Bounded() {
-		return Answer{Granted: true, Part: 1}
+		return Decision{Granted: true, Part: 1}
 	}
 
 	b := h.bucket(name, limit)
@@ -254,19 +254,19 @@
 
 	switch {
 	case p.part == 0:
-		return Answer{Wait: unknownWait}
+		return Decision{Wait: unknownWait}
 	case b.level-cost < -spare && b.level >= need:
 		// The request is larger than this owner can ever grant.
-		return Answer{Wait: unknownWait, Part: p.part}
+		return Decision{Wait: unknownWait, Part: p.part}
 	case b.level < need:
 		wait := time.Duration((need - b.level) / (p.part * limit.PerSecond) * float64(time.Second))
 
-		return Answer{Wait: max(wait, minWait), Part: p.part, Settling: p.accrued*limit.PerSecond < p.part*limit.Burst}
+		return Decision{Wait: max(wait, minWait), Part: p.part, Filling: p.accrued*limit.PerSecond < p.part*limit.Burst}
 	}
 
 	b.level -= cost
 
-	return Answer{Granted: true, Part: p.part}
+	return Decision{Granted: true, Part: p.part}
 }
 
 const (
@@ -277,8 +277,8 @@
 	minWait = 10 * time.Millisecond
 )
 
-// Return credits the cost of a request that was granted but did not run.
-func (h *Home) Return(name string, limit team.Limit, amount float64, entries int, now Stamp) {
+// Refund credits the cost of a request that was granted but did not run.
+func (h *Owner) Refund(name string, limit team.Limit, amount float64, entries int, now Uptime) {
 	h.advance(entries, now)
 
 	b := h.bucket(name, limit)
@@ -286,7 +286,7 @@
 }
 
 // bucket returns a team's bucket, filled under the limit now in force.
-func (h *Home) bucket(name string, limit team.Limit) *bucket {
+func (h *Owner) bucket(name string, limit team.Limit) *bucket {
 	if h.buckets == nil {
 		h.buckets = make(map[string]*bucket)
 	}
@@ -303,8 +303,8 @@
 	return b
 }
 
-// Keep deletes the buckets of the teams for which known returns false.
-func (h *Home) Keep(known func(name string) bool) {
+// Retain deletes the buckets of the teams for which known returns false.
+func (h *Owner) Retain(known func(name string) bool) {
 	for name := range h.buckets {
 		if !known(name) {
 			delete(h.buckets, name)
--- a/internal/customer/quota/lender.go
+++ b/internal/customer/quota/lender.go
@@ -24,13 +24,13 @@
 	clockRetention = time.Minute
 )
 
-// Every returns the time between two rounds of delegations for a number of entries.
-func Every(entries int) time.Duration {
+// Interval returns the time between two rounds of delegations for a number of entries.
+func Interval(entries int) time.Duration {
 	return max(minInterval, time.Duration(entries)*intervalPerEntry)
 }
 
 // TTL returns how long a delegation lasts for a number of entries.
-func TTL(entries int) time.Duration { return time.Duration(ttlRounds * float64(Every(entries))) }
+func TTL(entries int) time.Duration { return time.Duration(ttlRounds * float64(Interval(entries))) }
 
 // Process is one process of an entry that may be a limit owner.
 type Process struct {
@@ -39,17 +39,17 @@
 	Run string
 }
 
-// Homes are the owners to which the slots are to be delegated, by slot.
-type Homes [Slots]Process
+// Owners are the owners to which the slots are to be delegated, by slot.
+type Owners [Slots]Process
 
-// Lender decides to which owners an entry delegates its share. Set Started before
+// Delegator decides to which owners an entry delegates its share. Set Started before
 // use. It is not safe for concurrent use.
-type Lender struct {
+type Delegator struct {
 	// Started is when this process started. The entry's previous process may have
 	// delegated the same share a moment earlier.
 	Started time.Time
-	// Former are the entries that may have been owners then.
-	Former []instance.ID
+	// FormerOwners are the entries that may have been owners then.
+	FormerOwners []instance.ID
 
 	// held are the slots of this entry's share that the processes on other instances
 	// report as delegated to them. A process that started later than this one holds
@@ -68,15 +68,15 @@
 
 // clockReading is an owner's clock and when this entry received it.
 type clockReading struct {
-	stamp Stamp
+	stamp Uptime
 	at    time.Time
 }
 
-// Loans returns the delegations to send, by owner, and records them as made. An
+// Delegations returns the delegations to send, by owner, and records them as made. An
 // owner without a recent clock reading gets an empty delegation, whose reply
 // carries its clock.
-func (l *Lender) Loans(owners Homes, self instance.ID, entries int, now time.Time) map[Process]Loan {
-	out := make(map[Process]Loan)
+func (l *Delegator) Delegations(owners Owners, self instance.ID, entries int, now time.Time) map[Process]Delegation {
+	out := make(map[Process]Delegation)
 	ttl := TTL(entries)
 	formerExpired := now.Sub(l.Started) >= ttl+clockDrift
 
@@ -87,7 +87,7 @@
 
 		delegation, begun := out[to]
 		if !begun {
-			delegation = Loan{Entry: self}
+			delegation = Delegation{Entry: self}
 		}
 
 		reading, known := l.clocks[to]
@@ -95,7 +95,7 @@
 
 		if fresh && l.available(slot, to, now) && (formerExpired || l.unusedByFormer(slot, to.ID)) {
 			delegation.Slots = delegation.Slots.With(slot)
-			delegation.Until = reading.stamp + Stamp(ttl)
+			delegation.Until = reading.stamp + Uptime(ttl)
 			l.bind(slot, to, reading.at.Add(ttl+clockDrift))
 		}
 
@@ -106,7 +106,7 @@
 }
 
 // bind records that a slot is delegated at least until the given time.
-func (l *Lender) bind(slot int, to Process, until time.Time) {
+func (l *Delegator) bind(slot int, to Process, until time.Time) {
 	b := &l.bindings[slot]
 	b.to = to
 
@@ -117,7 +117,7 @@
 
 // available reports whether a slot may be delegated to an owner: this process has
 // no unexpired delegation of it to another.
-func (l *Lender) available(slot int, to Process, now time.Time) bool {
+func (l *Delegator) available(slot int, to Process, now time.Time) bool {
 	b := l.bindings[slot]
 
 	return b.to == to || !now.Before(b.until)
@@ -129,20 +129,20 @@
 //
 // Without this, after a simultaneous restart of all entries, when nothing is
 // delegated, no team with a limit would be served until a whole TTL had passed.
-func (l *Lender) unusedByFormer(slot int, owner instance.ID) bool {
-	for _, id := range l.Former {
+func (l *Delegator) unusedByFormer(slot int, owner instance.ID) bool {
+	for _, id := range l.FormerOwners {
 		held, answered := l.held[id]
 		if id != owner && (!answered || held.Has(slot)) {
 			return false
 		}
 	}
 
-	return len(l.Former) > 0
+	return len(l.FormerOwners) > 0
 }
 
-// Holds records the slots of this entry's share that the process on an instance
+// RecordDelegated records the slots of this entry's share that the process on an instance
 // holds; none if no process runs there.
-func (l *Lender) Holds(id instance.ID, held SlotSet) {
+func (l *Delegator) RecordDelegated(id instance.ID, held SlotSet) {
 	if l.held == nil {
 		l.held = make(map[instance.ID]SlotSet)
 	}
@@ -150,10 +150,10 @@
 	l.held[id] = held
 }
 
-// Heard records an owner's clock; at is when its reply arrived. It reports whether
+// RecordClock records an owner's clock; at is when its reply arrived. It reports whether
 // there was no recent reading of that owner, in which case a delegation may follow
 // at once.
-func (l *Lender) Heard(owner Process, stamp Stamp, at time.Time) bool {
+func (l *Delegator) RecordClock(owner Process, stamp Uptime, at time.Time) bool {
 	if l.clocks == nil {
 		l.clocks = make(map[Process]clockReading)
 	}
@@ -170,9 +170,9 @@
 	return !known || at.Sub(old.at) > minInterval*2 //nolint:mnd // Two rounds.
 }
 
-// Ended releases what was delegated to an owner's process that has ended or that
+// OwnerEnded releases what was delegated to an owner's process that has ended or that
 // gave back all delegations.
-func (l *Lender) Ended(owner Process) {
+func (l *Delegator) OwnerEnded(owner Process) {
 	delete(l.clocks, owner)
 
 	for slot := range l.bindings {
@@ -182,8 +182,8 @@
 	}
 }
 
-// With returns the process that may use a slot of this entry's share now.
-func (l *Lender) With(slot int, now time.Time) (Process, bool) {
+// OwnerOf returns the process that may use a slot of this entry's share now.
+func (l *Delegator) OwnerOf(slot int, now time.Time) (Process, bool) {
 	b := l.bindings[slot]
 
 	return b.to, b.to.ID != "" && now.Before(b.until)
--- a/internal/customer/quota/quota_test.go
+++ b/internal/customer/quota/quota_test.go
@@ -20,8 +20,8 @@
 	id        instance.ID
 	run       int
 	born      time.Time
-	delegator Lender
-	owner     Home
+	delegator Delegator
+	owner     Owner
 	started   bool
 	// frozenUntil is until when its process is suspended; until cutUntil it reaches
 	// no other entry and takes itself for the owner.
@@ -35,7 +35,7 @@
 
 func (e *entry) start(now time.Time) {
 	e.run++
-	e.born, e.delegator, e.owner, e.started = now, Lender{Started: now}, Home{Slack: e.owner.Slack}, true
+	e.born, e.delegator, e.owner, e.started = now, Delegator{Started: now}, Owner{Slack: e.owner.Slack}, true
 }
 
 // fleet simulates entries that delegate, consume and fail, and records every
@@ -51,7 +51,7 @@
 
 type delayedDelegation struct {
 	to         Process
-	delegation Loan
+	delegation Delegation
 	at         time.Time
 }
 
@@ -69,7 +69,7 @@
 	f := &fleet{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), limit: limit}
 
 	for i := range n {
-		e := &entry{id: instance.ID(fmt.Sprint("e", i)), owner: Home{Slack: slack}}
+		e := &entry{id: instance.ID(fmt.Sprint("e", i)), owner: Owner{Slack: slack}}
 		e.start(f.now)
 		f.entries = append(f.entries, e)
 	}
@@ -93,36 +93,36 @@
 	return f.entries[e.choice]
 }
 
-func (f *fleet) stamp(e *entry) Stamp { return Stamp(f.now.Sub(e.born)) }
+func (f *fleet) stamp(e *entry) Uptime { return Uptime(f.now.Sub(e.born)) }
 
 // delegate plays one entry's round of delegations. Each is lost, delayed or delivered
 // as the schedule says.
 func (f *fleet) delegate(e *entry, lost, delay bool) {
 	owner := f.ownerOf(e)
 
-	var owners Homes
+	var owners Owners
 	for slot := range owners {
 		owners[slot] = owner.process()
 	}
 
 	// After a start, all entries that may have been owners are asked.
-	e.delegator.Former = nil
+	e.delegator.FormerOwners = nil
 	for _, other := range f.entries[:choices] {
-		e.delegator.Former = append(e.delegator.Former, other.id)
+		e.delegator.FormerOwners = append(e.delegator.FormerOwners, other.id)
 
 		if f.reaches(e, other) && f.now.Sub(e.born) < time.Second {
-			e.delegator.Holds(other.id, other.owner.Held(e.id, f.stamp(other)))
+			e.delegator.RecordDelegated(other.id, other.owner.Delegated(e.id, f.stamp(other)))
 		}
 	}
 
-	for to, delegation := range e.delegator.Loans(owners, e.id, len(f.entries), f.now) {
+	for to, delegation := range e.delegator.Delegations(owners, e.id, len(f.entries), f.now) {
 		switch {
 		case !f.reaches(e, owner) || lost:
 		case delay:
 			f.delayed = append(f.delayed, delayedDelegation{to: to, delegation: delegation, at: f.now.Add(2 * time.Second)})
 		default:
-			owner.owner.Lend(delegation, len(f.entries), f.stamp(owner))
-			e.delegator.Heard(to, f.stamp(owner), f.now)
+			owner.owner.Accept(delegation, len(f.entries), f.stamp(owner))
+			e.delegator.RecordClock(to, f.stamp(owner), f.now)
 		}
 	}
 }
@@ -136,7 +136,7 @@
 
 		for _, e := range f.entries {
 			if e.process() == l.to && f.runs(e) {
-				e.owner.Lend(l.delegation, len(f.entries), f.stamp(e))
+				e.owner.Accept(l.delegation, len(f.entries), f.stamp(e))
 			}
 		}
 
@@ -145,8 +145,8 @@
 }
 
 // consume asks an owner to admit a request of an entry and records it if granted.
-func (f *fleet) consume(e *entry, cost float64) Answer {
-	to, bound := e.delegator.With(SlotOf(GroupOf(simulated), 0), f.now)
+func (f *fleet) consume(e *entry, cost float64) Decision {
+	to, bound := e.delegator.OwnerOf(SlotOf(GroupOf(simulated), 0), f.now)
 	owner := f.ownerOf(e)
 
 	if bound {
@@ -158,10 +158,10 @@
 	}
 
 	if !f.reaches(e, owner) {
-		return Answer{}
+		return Decision{}
 	}
 
-	a := owner.owner.Draw(simulated, f.limit, cost, len(f.entries), f.stamp(owner))
+	a := owner.owner.Consume(simulated, f.limit, cost, len(f.entries), f.stamp(owner))
 	if a.Granted {
 		f.ran = append(f.ran, run{f.now, cost})
 	}
@@ -362,7 +362,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(12, team.Limit{PerSecond: 9000, Burst: 9000}, Slack{})
 			round := func() {
-				f.now = f.now.Add(Every(12))
+				f.now = f.now.Add(Interval(12))
 
 				for _, e := range f.entries[1:] {
 					f.delegate(e, false, false)
@@ -382,7 +382,7 @@
 			for _, e := range f.entries[1:] {
 				e.choice = 1
 				if known {
-					e.delegator.Ended(dead)
+					e.delegator.OwnerEnded(dead)
 				}
 			}
 
@@ -399,9 +399,9 @@
 			}
 
 			if known {
-				assert.Assert(t, f.now.Sub(began) <= 3*Every(12), "took %s", f.now.Sub(began))
+				assert.Assert(t, f.now.Sub(began) <= 3*Interval(12), "took %s", f.now.Sub(began))
 			} else {
-				assert.Assert(t, f.now.Sub(began) <= TTL(12)+3*Every(12), "took %s", f.now.Sub(began))
+				assert.Assert(t, f.now.Sub(began) <= TTL(12)+3*Interval(12), "took %s", f.now.Sub(began))
 			}
 		})
 	}
@@ -410,23 +410,23 @@
 // TestRefund checks that the cost of a request that did not run can be used again,
 // and that returning never yields more than the burst.
 func TestRefund(t *testing.T) {
-	h := Home{}
+	h := Owner{}
 	l := team.Limit{PerSecond: 10, Burst: 10}
-	second := Stamp(time.Second)
+	second := Uptime(time.Second)
 
-	h.Lend(Loan{Entry: "e", Slots: math.MaxUint16, Until: 100 * second}, 1, 0)
+	h.Accept(Delegation{Entry: "e", Slots: math.MaxUint16, Until: 100 * second}, 1, 0)
 
 	for range 10 {
-		assert.Assert(t, h.Draw("a", l, 1, 1, 2*second).Granted)
+		assert.Assert(t, h.Consume("a", l, 1, 1, 2*second).Granted)
 	}
 
-	assert.Assert(t, !h.Draw("a", l, 1, 1, 2*second).Granted)
-	h.Return("a", l, 1, 1, 2*second)
-	assert.Assert(t, h.Draw("a", l, 1, 1, 2*second).Granted)
-	h.Return("a", l, 1000, 1, 2*second)
+	assert.Assert(t, !h.Consume("a", l, 1, 1, 2*second).Granted)
+	h.Refund("a", l, 1, 1, 2*second)
+	assert.Assert(t, h.Consume("a", l, 1, 1, 2*second).Granted)
+	h.Refund("a", l, 1000, 1, 2*second)
 
 	granted := 0
-	for h.Draw("a", l, 1, 1, 2*second).Granted {
+	for h.Consume("a", l, 1, 1, 2*second).Granted {
 		granted++
 	}
 
@@ -436,38 +436,38 @@
 // TestLoweredLimit guards against a bucket that keeps its old burst after the limit was
 // lowered.
 func TestLoweredLimit(t *testing.T) {
-	h := Home{}
-	second := Stamp(time.Second)
+	h := Owner{}
+	second := Uptime(time.Second)
 
-	h.Lend(Loan{Entry: "e", Slots: math.MaxUint16, Until: 100 * second}, 1, 0)
-	assert.Assert(t, h.Draw("a", team.Limit{PerSecond: 1000, Burst: 1000}, 1, 1, 2*second).Granted)
+	h.Accept(Delegation{Entry: "e", Slots: math.MaxUint16, Until: 100 * second}, 1, 0)
+	assert.Assert(t, h.Consume("a", team.Limit{PerSecond: 1000, Burst: 1000}, 1, 1, 2*second).Granted)
 
 	low := team.Limit{PerSecond: 10, Burst: 10}
 	granted := 0
 
-	for h.Draw("a", low, 1, 1, 2*second).Granted {
+	for h.Consume("a", low, 1, 1, 2*second).Granted {
 		granted++
 	}
 
 	assert.Equal(t, granted, 10)
-	assert.Equal(t, h.Draw("a", low, 1, 1, 2*second).Wait, 100*time.Millisecond)
+	assert.Equal(t, h.Consume("a", low, 1, 1, 2*second).Wait, 100*time.Millisecond)
 }
 
 // TestLargeRequest checks that a request larger than the burst runs once the burst
 // is full, if the operators' tolerance allows it, and otherwise never.
 func TestLargeRequest(t *testing.T) {
 	l := team.Limit{PerSecond: 2700, Burst: 2700}
-	delegation := Loan{Entry: "e", Slots: math.MaxUint16, Until: Stamp(time.Hour)}
+	delegation := Delegation{Entry: "e", Slots: math.MaxUint16, Until: Uptime(time.Hour)}
 
-	tolerant := Home{Slack: Slack{Tolerance: 11000}}
-	tolerant.Lend(delegation, 1, 0)
-	assert.Assert(t, !tolerant.Draw("a", l, 4300, 1, Stamp(500*time.Millisecond)).Granted)
-	assert.Assert(t, tolerant.Draw("a", l, 4300, 1, Stamp(2*time.Second)).Granted)
+	tolerant := Owner{Slack: Slack{Tolerance: 11000}}
+	tolerant.Accept(delegation, 1, 0)
+	assert.Assert(t, !tolerant.Consume("a", l, 4300, 1, Uptime(500*time.Millisecond)).Granted)
+	assert.Assert(t, tolerant.Consume("a", l, 4300, 1, Uptime(2*time.Second)).Granted)
 
-	strict := Home{}
-	strict.Lend(delegation, 1, 0)
+	strict := Owner{}
+	strict.Accept(delegation, 1, 0)
 
-	a := strict.Draw("a", l, 4300, 1, Stamp(time.Minute))
+	a := strict.Consume("a", l, 4300, 1, Uptime(time.Minute))
 	assert.Assert(t, !a.Granted && a.Wait > 0)
 }
 
@@ -476,8 +476,8 @@
 	const entries = 1200
 
 	var (
-		h   Home
-		now Stamp
+		h   Owner
+		now Uptime
 	)
 
 	ids := make([]instance.ID, entries)
@@ -486,8 +486,8 @@
 	}
 
 	for i := 0; b.Loop(); i++ {
-		now += Stamp(Every(entries)) / entries
-		h.Lend(Loan{Entry: ids[i%entries], Slots: math.MaxUint16, Until: now + Stamp(TTL(entries))}, entries, now)
+		now += Uptime(Interval(entries)) / entries
+		h.Accept(Delegation{Entry: ids[i%entries], Slots: math.MaxUint16, Until: now + Uptime(TTL(entries))}, entries, now)
 	}
 }
 
@@ -495,10 +495,10 @@
 func BenchmarkConsume(b *testing.B) {
 	const entries = 1200
 
-	var h Home
+	var h Owner
 
 	for i := range entries {
-		h.Lend(Loan{Entry: instance.ID(fmt.Sprint(i)), Slots: math.MaxUint16, Until: Stamp(time.Hour)}, entries, 0)
+		h.Accept(Delegation{Entry: instance.ID(fmt.Sprint(i)), Slots: math.MaxUint16, Until: Uptime(time.Hour)}, entries, 0)
 	}
 
 	names := make([]string, 1000)
@@ -507,26 +507,26 @@
 	}
 
 	l := team.Limit{PerSecond: 1e9, Burst: 1e9}
-	now := Stamp(time.Second)
+	now := Uptime(time.Second)
 
 	for i := 0; b.Loop(); i++ {
-		now += Stamp(time.Microsecond)
-		h.Draw(names[i%len(names)], l, 1, entries, now)
+		now += Uptime(time.Microsecond)
+		h.Consume(names[i%len(names)], l, 1, entries, now)
 	}
 }
 
 // TestNewDelegation guards against an owner that has just received a delegation and
 // refuses a team as if the team had used up its limit.
 func TestNewDelegation(t *testing.T) {
-	h := Home{}
+	h := Owner{}
 	l := team.Limit{PerSecond: 100, Burst: 100}
-	second := Stamp(time.Second)
+	second := Uptime(time.Second)
 
-	h.Lend(Loan{Entry: "e", Slots: math.MaxUint16, Until: 100 * second}, 1, 10*second)
+	h.Accept(Delegation{Entry: "e", Slots: math.MaxUint16, Until: 100 * second}, 1, 10*second)
 
-	a := h.Draw("a", l, 50, 1, 10*second+second/4)
-	assert.Assert(t, !a.Granted && a.Settling)
+	a := h.Consume("a", l, 50, 1, 10*second+second/4)
+	assert.Assert(t, !a.Granted && a.Filling)
 
-	a = h.Draw("a", l, 150, 1, 12*second)
-	assert.Assert(t, !a.Granted && !a.Settling)
+	a = h.Consume("a", l, 150, 1, 12*second)
+	assert.Assert(t, !a.Granted && !a.Filling)
 }
--- a/internal/fleet/node/homes.go
+++ b/internal/fleet/node/homes.go
@@ -69,7 +69,7 @@
 
 // choose returns the homes of all limits: a few of the strongest entries that are
 // alive and answer. The parts of a group have different homes.
-func (q *quotas) choose(alive []roll.Member) quota.Homes {
+func (q *quotas) choose(alive []roll.Member) quota.Owners {
 	now := clock.Now()
 
 	q.mu.Lock()
@@ -101,8 +101,8 @@
 }
 
 // divide divides the limits among their homes.
-func divide(among []roll.Member) quota.Homes {
-	var out quota.Homes
+func divide(among []roll.Member) quota.Owners {
+	var out quota.Owners
 
 	ids, runs := make([]instance.ID, len(among)), make(map[instance.ID]string)
 	for i, m := range among {
--- a/internal/fleet/node/lending.go
+++ b/internal/fleet/node/lending.go
@@ -34,7 +34,7 @@
 			q.round(ctx)
 		}
 
-		t := time.NewTimer(jitter(quota.Every(q.known())))
+		t := time.NewTimer(jitter(quota.Interval(q.known())))
 
 		select {
 		case <-ctx.Done():
@@ -57,13 +57,13 @@
 
 	q.mu.Lock()
 	q.homes = homes
-	loans := q.lender.Loans(homes, q.node.cfg.Self, q.known(), clock.Now())
+	loans := q.lender.Delegations(homes, q.node.cfg.Self, q.known(), clock.Now())
 	returns := q.returns
 	q.returns = nil
 	q.mu.Unlock()
 
 	for home, loan := range loans {
-		l := news.Lending{Loan: loan, Home: home.Run, Returns: make(map[string]float64)}
+		l := news.Lending{Delegation: loan, Home: home.Run, Returns: make(map[string]float64)}
 
 		for name, amount := range returns {
 			if homes[quota.SlotOf(quota.GroupOf(name), 0)] == home {
@@ -80,7 +80,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	q.home.Keep(func(name string) bool { return c.Teams.ByName(name) != nil })
+	q.home.Retain(func(name string) bool { return c.Teams.ByName(name) != nil })
 }
 
 // askFormer asks the entries that may have been homes before this process
@@ -89,7 +89,7 @@
 	former := q.former()
 
 	q.mu.Lock()
-	q.lender.Former = former
+	q.lender.FormerOwners = former
 	q.mu.Unlock()
 
 	for _, id := range former {
@@ -107,7 +107,7 @@
 	ctx, cancel := context.WithTimeout(ctx, lendAnswers)
 	defer cancel()
 
-	r, err := p.client.Lend(ctx, news.Lending{Loan: quota.Loan{Entry: q.node.cfg.Self}})
+	r, err := p.client.Lend(ctx, news.Lending{Delegation: quota.Delegation{Entry: q.node.cfg.Self}})
 
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -124,7 +124,7 @@
 
 	// Where nobody listens, whoever comes started after this process.
 	if err == nil || errors.Is(err, syscall.ECONNREFUSED) {
-		q.lender.Holds(id, r.Held)
+		q.lender.RecordDelegated(id, r.Held)
 	}
 }
 
@@ -149,7 +149,7 @@
 	default:
 		delete(q.silent, home.ID)
 
-		if q.lender.Heard(home, r.Stamp, at) {
+		if q.lender.RecordClock(home, r.Stamp, at) {
 			poke(q.soon)
 		}
 	}
@@ -211,6 +211,6 @@
 // ended notes that a home's process has ended or stops. The caller holds the
 // lock.
 func (q *quotas) ended(home quota.Process) {
-	q.lender.Ended(home)
+	q.lender.OwnerEnded(home)
 	poke(q.soon)
 }
--- a/internal/fleet/node/quotas.go
+++ b/internal/fleet/node/quotas.go
@@ -33,10 +33,10 @@
 	soon chan struct{}
 
 	mu     sync.Mutex
-	home   quota.Home
-	lender quota.Lender
+	home   quota.Owner
+	lender quota.Delegator
 	// homes are the present homes of the limits.
-	homes  quota.Homes
+	homes  quota.Owners
 	silent map[instance.ID]silence
 	// answered are the entries that have answered since this process started.
 	answered map[instance.ID]bool
@@ -51,7 +51,7 @@
 	until        time.Time
 }
 
-func (q *quotas) stamp() quota.Stamp { return quota.Stamp(clock.Now().Sub(q.node.started)) }
+func (q *quotas) stamp() quota.Uptime { return quota.Uptime(clock.Now().Sub(q.node.started)) }
 
 // known returns how many entries share the limits.
 func (q *quotas) known() int {
@@ -107,7 +107,7 @@
 
 		out.Unknown = false
 		out.Coverage += d.Part
-		settling = settling || d.Settling
+		settling = settling || d.Filling
 
 		if out.Coverage >= mostOfLimit {
 			break
@@ -127,7 +127,7 @@
 	now := clock.Now()
 
 	for part := range quota.Parts {
-		if bound, ok := q.lender.With(quota.SlotOf(group, part), now); ok && !slices.Contains(out, bound) {
+		if bound, ok := q.lender.OwnerOf(quota.SlotOf(group, part), now); ok && !slices.Contains(out, bound) {
 			out = append(out, bound)
 		}
 	}
@@ -215,7 +215,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	out.Answer = q.home.Draw(t.Name, t.Limit, d.Cost, entries, q.stamp())
+	out.Decision = q.home.Consume(t.Name, t.Limit, d.Cost, entries, q.stamp())
 
 	return out
 }
@@ -228,13 +228,13 @@
 	defer q.mu.Unlock()
 
 	now := q.stamp()
-	out := news.Receipt{Process: q.node.process, Stamp: now, Held: q.home.Held(l.Entry, now), Released: q.node.stopping.Load()}
+	out := news.Receipt{Process: q.node.process, Stamp: now, Held: q.home.Delegated(l.Entry, now), Released: q.node.stopping.Load()}
 
 	if out.Released || l.Home != q.node.process {
 		return out
 	}
 
-	q.home.Lend(l.Loan, entries, now)
+	q.home.Accept(l.Delegation, entries, now)
 
 	if c == nil {
 		return out
@@ -242,7 +242,7 @@
 
 	for name, amount := range l.Returns {
 		if t := c.Teams.ByName(name); t != nil {
-			q.home.Return(name, t.Limit, amount, entries, now)
+			q.home.Refund(name, t.Limit, amount, entries, now)
 		}
 	}
 
--- a/internal/wire/news/news_test.go
+++ b/internal/wire/news/news_test.go
@@ -64,13 +64,13 @@
 func (e *echo) Lend(l Lending) Receipt {
 	e.lending = l
 
-	return Receipt{Process: "p", Stamp: quota.Stamp(1500 * time.Millisecond), Held: 0x8001, Released: true}
+	return Receipt{Process: "p", Stamp: quota.Uptime(1500 * time.Millisecond), Held: 0x8001, Released: true}
 }
 
 func (e *echo) Draw(d Drawing) Drawn {
 	e.drawing = d
 
-	return Drawn{Answer: quota.Answer{Granted: true, Wait: 30 * time.Millisecond, Part: 0.5, Settling: true}, Process: "p", Stranger: true, Released: true}
+	return Drawn{Decision: quota.Decision{Granted: true, Wait: 30 * time.Millisecond, Part: 0.5, Filling: true}, Process: "p", Stranger: true, Released: true}
 }
 
 func (e *echo) Block(fp request.Fingerprint) { e.blocked = fp }
@@ -151,17 +151,17 @@
 	assert.Equal(t, got.blocked, request.Fingerprint(9))
 
 	lending := Lending{
-		Loan: quota.Loan{Entry: "e", Slots: 0x8005, Until: quota.Stamp(2 * time.Second)}, Home: "h", Returns: map[string]float64{"team": 1540},
+		Delegation: quota.Delegation{Entry: "e", Slots: 0x8005, Until: quota.Uptime(2 * time.Second)}, Home: "h", Returns: map[string]float64{"team": 1540},
 	}
 	receipt, err := c.Lend(t.Context(), lending)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got.lending, lending)
-	assert.Equal(t, receipt, Receipt{Process: "p", Stamp: quota.Stamp(1500 * time.Millisecond), Held: 0x8001, Released: true})
+	assert.Equal(t, receipt, Receipt{Process: "p", Stamp: quota.Uptime(1500 * time.Millisecond), Held: 0x8001, Released: true})
 
 	drawn, err := c.Draw(t.Context(), Drawing{Team: "team", Cost: 646})
 	assert.NilError(t, err)
 	assert.Equal(t, got.drawing, Drawing{Team: "team", Cost: 646})
-	assert.Equal(t, drawn, Drawn{Answer: quota.Answer{Granted: true, Wait: 30 * time.Millisecond, Part: 0.5, Settling: true}, Process: "p", Stranger: true, Released: true})
+	assert.Equal(t, drawn, Drawn{Decision: quota.Decision{Granted: true, Wait: 30 * time.Millisecond, Part: 0.5, Filling: true}, Process: "p", Stranger: true, Released: true})
 }
 
 // BenchmarkHear is one telling of a delta with one station over loopback, both
--- a/internal/wire/news/quota.go
+++ b/internal/wire/news/quota.go
@@ -10,7 +10,7 @@
 
 // Lending is a loan of shares of teams' limits to the home that is named.
 type Lending struct {
-	quota.Loan
+	quota.Delegation
 
 	// Home is the process that the loan is meant for.
 	Home string
@@ -22,7 +22,7 @@
 type Receipt struct {
 	// Process is the home's, and Stamp its clock.
 	Process string
-	Stamp   quota.Stamp
+	Stamp   quota.Uptime
 	// Held is what the home holds of the sender's share.
 	Held quota.SlotSet
 	// Released says that the home stops and uses nothing that it was lent.
@@ -37,7 +37,7 @@
 
 // Drawn is a home's answer to it.
 type Drawn struct {
-	quota.Answer
+	quota.Decision
 
 	// Process is the home's.
 	Process string
@@ -92,8 +92,8 @@
 // Lend is the remote call.
 func (s service) Lend(in LendingMessage, out *ReceiptMessage) error {
 	r := s.h.Lend(Lending{
-		Loan: quota.Loan{
-			Entry: instance.ID(in.Entry), Slots: quota.SlotSet(in.Slots), Until: quota.Stamp(time.Duration(in.UntilMs) * time.Millisecond),
+		Delegation: quota.Delegation{
+			Entry: instance.ID(in.Entry), Slots: quota.SlotSet(in.Slots), Until: quota.Uptime(time.Duration(in.UntilMs) * time.Millisecond),
 		},
 		Home: in.Home, Returns: in.Returns,
 	})
@@ -106,7 +106,7 @@
 func (s service) Draw(in DrawingMessage, out *DrawnMessage) error {
 	d := s.h.Draw(Drawing{Team: in.Team, Cost: in.Cost})
 	*out = DrawnMessage{
-		Granted: d.Granted, WaitMs: d.Wait.Milliseconds(), Part: d.Part, Settling: d.Settling, Process: d.Process, Stranger: d.Stranger, Released: d.Released,
+		Granted: d.Granted, WaitMs: d.Wait.Milliseconds(), Part: d.Part, Settling: d.Filling, Process: d.Process, Stranger: d.Stranger, Released: d.Released,
 	}
 
 	return nil
@@ -124,7 +124,7 @@
 	}
 
 	return Receipt{
-		Process: out.Process, Stamp: quota.Stamp(time.Duration(out.StampMs) * time.Millisecond), Held: quota.SlotSet(out.Held), Released: out.Released,
+		Process: out.Process, Stamp: quota.Uptime(time.Duration(out.StampMs) * time.Millisecond), Held: quota.SlotSet(out.Held), Released: out.Released,
 	}, nil
 }
 
@@ -136,7 +136,7 @@
 	}
 
 	return Drawn{
-		Answer:  quota.Answer{Granted: out.Granted, Wait: time.Duration(out.WaitMs) * time.Millisecond, Part: out.Part, Settling: out.Settling},
-		Process: out.Process, Stranger: out.Stranger, Released: out.Released,
+		Decision: quota.Decision{Granted: out.Granted, Wait: time.Duration(out.WaitMs) * time.Millisecond, Part: out.Part, Filling: out.Settling},
+		Process:  out.Process, Stranger: out.Stranger, Released: out.Released,
 	}, nil
 }
