--- a/internal/customer/limit/home.go
+++ b/internal/customer/limit/home.go
@@ -11,8 +11,8 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// GrantFor is how long a grant lasts after it was requested.
-const GrantFor = 2 * time.Second
+// GrantTTL is how long a grant lasts after it was requested.
+const GrantTTL = 2 * time.Second
 
 // clockMargin is how much longer the owner counts a grant than the entry uses it,
 // because the owner's clock may run faster than the entry's.
@@ -55,12 +55,12 @@
 	}
 }
 
-// Ask is an entry's request for a grant.
-type Ask struct {
+// Request is an entry's request for a grant.
+type Request struct {
 	Entry instance.ID
 	Plan  string
-	// Want is what the entry could use now.
-	Want Amount
+	// Demand is what the entry could use now.
+	Demand Amount
 	// Running is how many of the plan's requests run on the entry.
 	Running int
 }
@@ -70,14 +70,14 @@
 type Grant struct {
 	Amount
 
-	// For is how long the grant lasts, counted from when it was requested. Zero
+	// TTL is how long the grant lasts, counted from when it was requested. Zero
 	// means that the owner does not grant yet.
-	For time.Duration
+	TTL time.Duration
 }
 
-// Home grants the limits of the plans that this entry owns. The zero value has
+// Owner grants the limits of the plans that this entry owns. The zero value has
 // granted nothing. It is not safe for concurrent use.
-type Home struct {
+type Owner struct {
 	plans map[string]map[instance.ID]grantRecord
 	// changedAt is when the membership last changed.
 	changedAt time.Time
@@ -94,11 +94,11 @@
 // MembershipChanged records that the owners of plans may have changed. This owner
 // grants nothing until the grants of the previous owners have expired; otherwise
 // the limits could be granted twice.
-func (h *Home) MembershipChanged(now time.Time) { h.changedAt = now }
+func (h *Owner) MembershipChanged(now time.Time) { h.changedAt = now }
 
 // Grant answers a request from one of n entries.
-func (h *Home) Grant(p plan.Plan, a Ask, n int, now time.Time) Grant {
-	if now.Before(h.changedAt.Add(GrantFor + clockMargin)) {
+func (h *Owner) Grant(p plan.Plan, a Request, n int, now time.Time) Grant {
+	if now.Before(h.changedAt.Add(GrantTTL + clockMargin)) {
 		return Grant{}
 	}
 
@@ -120,20 +120,20 @@
 
 	delete(entries, a.Entry)
 
-	l := grantRecord{Amount: divide(p, entries, a, n), want: a.Want, until: now.Add(GrantFor + clockMargin)}
+	l := grantRecord{Amount: divide(p, entries, a, n), want: a.Demand, until: now.Add(GrantTTL + clockMargin)}
 	l.Concurrency = max(l.Concurrency, 0)
 
 	counted := l
 	counted.Concurrency = max(l.Concurrency, a.Running)
 	entries[a.Entry] = counted
 
-	return Grant{Amount: l.Amount, For: GrantFor}
+	return Grant{Amount: l.Amount, TTL: GrantTTL}
 }
 
 // divide returns the entry's part: its demand if all demands fit, otherwise a
 // part in proportion to its demand. It is never more than what is neither granted
 // to others nor reserved for the static shares of entries without a grant.
-func divide(p plan.Plan, others map[instance.ID]grantRecord, a Ask, n int) Amount {
+func divide(p plan.Plan, others map[instance.ID]grantRecord, a Request, n int) Amount {
 	all, static := Whole(p), Static(p, n)
 	without := max(0, n-1-len(others))
 
@@ -142,7 +142,7 @@
 		Concurrency: all.Concurrency - without*static.Concurrency,
 		Tokens:      all.Tokens - float64(without)*static.Tokens,
 	}
-	wants := a.Want
+	wants := a.Demand
 
 	for _, o := range others {
 		free.Rate -= max(o.Rate, static.Rate)
@@ -154,14 +154,14 @@
 	}
 
 	fair := Amount{
-		Rate:        share(all.Rate, a.Want.Rate, wants.Rate),
-		Concurrency: int(share(float64(all.Concurrency), float64(a.Want.Concurrency), float64(wants.Concurrency))),
-		Tokens:      share(all.Tokens, a.Want.Tokens, wants.Tokens),
+		Rate:        share(all.Rate, a.Demand.Rate, wants.Rate),
+		Concurrency: int(share(float64(all.Concurrency), float64(a.Demand.Concurrency), float64(wants.Concurrency))),
+		Tokens:      share(all.Tokens, a.Demand.Tokens, wants.Tokens),
 	}
 
 	return Amount{
 		Rate:        max(0, min(fair.Rate, free.Rate)),
-		Concurrency: max(0, min(max(fair.Concurrency, min(1, a.Want.Concurrency)), free.Concurrency)),
+		Concurrency: max(0, min(max(fair.Concurrency, min(1, a.Demand.Concurrency)), free.Concurrency)),
 		Tokens:      max(0, min(fair.Tokens, free.Tokens)),
 	}
 }
--- a/internal/customer/limit/limit_test.go
+++ b/internal/customer/limit/limit_test.go
@@ -30,7 +30,7 @@
 		}
 		all, static := Whole(p), Static(p, entries)
 
-		var owner Home
+		var owner Owner
 
 		clock := now.Add(time.Hour)
 		held := make(map[instance.ID]Amount)
@@ -45,12 +45,12 @@
 				running = rapid.IntRange(0, held[id].Concurrency).Draw(t, "running")
 			}
 
-			g := owner.Grant(p, Ask{Entry: id, Plan: "p", Running: running, Want: Amount{
+			g := owner.Grant(p, Request{Entry: id, Plan: "p", Running: running, Demand: Amount{
 				Rate:        rapid.Float64Range(0, 600).Draw(t, "wantRate"),
 				Concurrency: rapid.IntRange(0, 100).Draw(t, "wantConcurrency"),
 				Tokens:      rapid.Float64Range(0, 2000).Draw(t, "wantTokens"),
 			}}, entries, clock)
-			held[id], until[id] = g.Amount, clock.Add(g.For)
+			held[id], until[id] = g.Amount, clock.Add(g.TTL)
 
 			var sum Amount
 
@@ -79,24 +79,24 @@
 // TestNewOwner checks that after a change of the membership an owner grants nothing
 // until the previous owner's grants have expired.
 func TestNewOwner(t *testing.T) {
-	var owner Home
+	var owner Owner
 
 	p := plan.Plan{Name: "p", Concurrency: 10}
-	a := Ask{Entry: "e", Plan: "p", Want: Amount{Concurrency: 5}}
+	a := Request{Entry: "e", Plan: "p", Demand: Amount{Concurrency: 5}}
 
 	owner.MembershipChanged(now)
-	assert.Equal(t, owner.Grant(p, a, 2, now.Add(GrantFor)).For, time.Duration(0))
-	assert.Equal(t, owner.Grant(p, a, 2, now.Add(GrantFor+clockMargin)).Concurrency, 5)
+	assert.Equal(t, owner.Grant(p, a, 2, now.Add(GrantTTL)).TTL, time.Duration(0))
+	assert.Equal(t, owner.Grant(p, a, 2, now.Add(GrantTTL+clockMargin)).Concurrency, 5)
 }
 
 // TestGrantsFollowDemand checks that an idle entry's part is granted to a busy one and
 // is available again within the lifetime of a grant.
 func TestGrantsFollowDemand(t *testing.T) {
-	var owner Home
+	var owner Owner
 
 	p := plan.Plan{Name: "p", Concurrency: 8}
 	ask := func(id string, want, running int, at time.Duration) int {
-		a := Ask{Entry: instance.ID(id), Plan: "p", Want: Amount{Concurrency: want}, Running: running}
+		a := Request{Entry: instance.ID(id), Plan: "p", Demand: Amount{Concurrency: want}, Running: running}
 
 		return owner.Grant(p, a, 2, now.Add(time.Hour+at)).Concurrency
 	}
@@ -111,7 +111,7 @@
 type bench struct {
 	Shares
 
-	owner       Home
+	owner       Owner
 	plan        plan.Plan
 	unreachable bool
 }
@@ -119,7 +119,7 @@
 func newBench(p plan.Plan) *bench {
 	b := &bench{plan: p}
 	b.Entries = func() int { return 4 }
-	b.Ask = func(_ context.Context, a Ask) (Grant, error) {
+	b.RequestGrant = func(_ context.Context, a Request) (Grant, error) {
 		if b.unreachable {
 			return Grant{}, context.DeadlineExceeded
 		}
@@ -176,7 +176,7 @@
 		began := time.Now()
 		_, ok = small.Admit(t.Context(), small.plan)
 		assert.Assert(t, ok)
-		assert.Assert(t, time.Since(began) <= GrantFor+200*time.Millisecond, "waited %s", time.Since(began))
+		assert.Assert(t, time.Since(began) <= GrantTTL+200*time.Millisecond, "waited %s", time.Since(began))
 	})
 }
 
--- a/internal/customer/limit/share.go
+++ b/internal/customer/limit/share.go
@@ -70,7 +70,7 @@
 
 	switch {
 	case p.Concurrency > 0 && s.running >= amount.Concurrency:
-		return refused, GrantFor
+		return refused, GrantTTL
 	case p.RequestsPerSecond > 0 && s.level < 1:
 		return refused, waitUntil(1-s.level, amount.Rate)
 	case p.TokensPerMinute > 0 && s.tokens < 0:
@@ -117,7 +117,7 @@
 
 func waitUntil(missing, rate float64) time.Duration {
 	if rate <= 0 {
-		return GrantFor
+		return GrantTTL
 	}
 
 	return time.Duration(missing / rate * float64(time.Second))
@@ -136,7 +136,7 @@
 // Ask returns what to request from the limit owner: the recent use and some
 // headroom, so that growing use need not wait for each grant. ok is false when
 // the share is idle.
-func (s *Share) Ask(p plan.Plan, now time.Time) (a Ask, ok bool) {
+func (s *Share) Ask(p plan.Plan, now time.Time) (a Request, ok bool) {
 	const (
 		headroom = 1.5
 		spare    = 2
@@ -149,16 +149,16 @@
 	s.decay(now)
 
 	if s.running == 0 && s.recentRequests < idle {
-		return Ask{}, false
+		return Request{}, false
 	}
 
 	all := Whole(p)
 	perSecond := headroom / decayTime.Seconds()
 
-	return Ask{
+	return Request{
 		Plan:    p.Name,
 		Running: s.running,
-		Want: Amount{
+		Demand: Amount{
 			Rate:        min(all.Rate, s.recentRequests*perSecond+spare),
 			Concurrency: min(p.Concurrency, int(headroom*s.peak)+spare),
 			Tokens:      min(all.Tokens, s.recentTokens*perSecond+all.Tokens/float64(max(spare, p.Concurrency))),
@@ -167,17 +167,17 @@
 }
 
 // Apply replaces the grant with the answer to a, which was sent at asked.
-func (s *Share) Apply(g Grant, a Ask, asked time.Time) {
+func (s *Share) Apply(g Grant, a Request, asked time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	if g.For == 0 {
+	if g.TTL == 0 {
 		return
 	}
 
 	s.grant = g
-	s.until = asked.Add(g.For)
-	s.shortfall = g.Concurrency < a.Want.Concurrency || g.Rate < a.Want.Rate || g.Tokens < a.Want.Tokens
+	s.until = asked.Add(g.TTL)
+	s.shortfall = g.Concurrency < a.Demand.Concurrency || g.Rate < a.Demand.Rate || g.Tokens < a.Demand.Tokens
 	s.shortAt = asked
 }
 
--- a/internal/customer/limit/shares.go
+++ b/internal/customer/limit/shares.go
@@ -11,8 +11,8 @@
 // Shares are one entry's shares of the limits of all plans. Its exported fields
 // must be set before use.
 type Shares struct {
-	// Ask requests a grant from the plan's limit owner.
-	Ask func(ctx context.Context, a Ask) (Grant, error)
+	// RequestGrant requests a grant from the plan's limit owner.
+	RequestGrant func(ctx context.Context, a Request) (Grant, error)
 	// Entries returns the number of entries.
 	Entries func() int
 
@@ -24,7 +24,7 @@
 // grant yet.
 const (
 	askInterval = 100 * time.Millisecond
-	askTimeout  = GrantFor + 500*time.Millisecond
+	askTimeout  = GrantTTL + 500*time.Millisecond
 )
 
 // Of returns this entry's share of a plan's limits.
@@ -81,8 +81,8 @@
 		return false
 	}
 
-	g, err := s.Ask(ctx, a)
-	if err != nil || g.For == 0 {
+	g, err := s.RequestGrant(ctx, a)
+	if err != nil || g.TTL == 0 {
 		return false
 	}
 
--- a/internal/fleet/entry/entry.go
+++ b/internal/fleet/entry/entry.go
@@ -234,7 +234,7 @@
 		MaxWaiting: maxWaiting,
 	})
 
-	e.shares.Ask = e.askHome
+	e.shares.RequestGrant = e.askHome
 	e.shares.Entries = entries
 
 	e.gateway = gateway.New(gateway.Config{
--- a/internal/fleet/entry/handler.go
+++ b/internal/fleet/entry/handler.go
@@ -48,7 +48,7 @@
 }
 
 // Ask implements wire.Handler.
-func (h handler) Ask(a limit.Ask) limit.Grant { return h.e.grant(a) }
+func (h handler) Ask(a limit.Request) limit.Grant { return h.e.grant(a) }
 
 // GrantShare implements wire.Handler.
 func (h handler) GrantShare(a share.Request) share.Loads { return h.e.cells[0].GrantShare(a) }
--- a/internal/fleet/entry/limits.go
+++ b/internal/fleet/entry/limits.go
@@ -13,7 +13,7 @@
 // homes grants the limits of the plans whose home this entry is.
 type homes struct {
 	mu   sync.Mutex
-	home limit.Home
+	home limit.Owner
 }
 
 func (h *homes) membershipChanged(now time.Time) {
@@ -24,7 +24,7 @@
 }
 
 // grant answers an ask for a plan whose home is this entry.
-func (e *Entry) grant(a limit.Ask) limit.Grant {
+func (e *Entry) grant(a limit.Request) limit.Grant {
 	p, ok := e.lists.Current().Plan(a.Plan)
 	if !ok {
 		return limit.Grant{}
@@ -37,7 +37,7 @@
 }
 
 // askHome asks the plan's home entry for a grant.
-func (e *Entry) askHome(ctx context.Context, a limit.Ask) (limit.Grant, error) {
+func (e *Entry) askHome(ctx context.Context, a limit.Request) (limit.Grant, error) {
 	const timeout = 300 * time.Millisecond
 
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -81,7 +81,7 @@
 	return c.GrantShare(ctx, a)
 }
 
-const renewEvery = limit.GrantFor / 4
+const renewEvery = limit.GrantTTL / 4
 
 func (e *Entry) renewGrants(ctx context.Context) {
 	every(ctx, renewEvery, func() { e.shares.Renew(ctx, e.lists.Current()) })
--- a/internal/wire/peer/client.go
+++ b/internal/wire/peer/client.go
@@ -66,7 +66,7 @@
 }
 
 // Ask asks for a grant.
-func (c *Client) Ask(ctx context.Context, a limit.Ask) (limit.Grant, error) {
+func (c *Client) Ask(ctx context.Context, a limit.Request) (limit.Grant, error) {
 	var out Grant
 
 	if err := c.Call(ctx, serviceName+".Ask", FromAsk(a), &out); err != nil {
--- a/internal/wire/peer/messages.go
+++ b/internal/wire/peer/messages.go
@@ -319,36 +319,36 @@
 }
 
 // FromAsk maps an ask to the wire.
-func FromAsk(a limit.Ask) Ask {
+func FromAsk(a limit.Request) Ask {
 	return Ask{
 		Entry:       string(a.Entry),
 		Plan:        a.Plan,
-		Rate:        a.Want.Rate,
-		Concurrency: a.Want.Concurrency,
-		Tokens:      a.Want.Tokens,
+		Rate:        a.Demand.Rate,
+		Concurrency: a.Demand.Concurrency,
+		Tokens:      a.Demand.Tokens,
 		Running:     a.Running,
 	}
 }
 
 // ToAsk maps an ask from the wire.
-func ToAsk(a Ask) limit.Ask {
-	return limit.Ask{
+func ToAsk(a Ask) limit.Request {
+	return limit.Request{
 		Entry:   instance.ID(a.Entry),
 		Plan:    a.Plan,
-		Want:    limit.Amount{Rate: a.Rate, Concurrency: a.Concurrency, Tokens: a.Tokens},
+		Demand:  limit.Amount{Rate: a.Rate, Concurrency: a.Concurrency, Tokens: a.Tokens},
 		Running: a.Running,
 	}
 }
 
 // FromGrant maps a grant to the wire.
 func FromGrant(g limit.Grant) Grant {
-	return Grant{Rate: g.Rate, Concurrency: g.Concurrency, Tokens: g.Tokens, ForMs: g.For.Milliseconds()}
+	return Grant{Rate: g.Rate, Concurrency: g.Concurrency, Tokens: g.Tokens, ForMs: g.TTL.Milliseconds()}
 }
 
 // ToGrant maps a grant from the wire.
 func ToGrant(g Grant) limit.Grant {
 	return limit.Grant{
 		Amount: limit.Amount{Rate: g.Rate, Concurrency: g.Concurrency, Tokens: g.Tokens},
-		For:    milliseconds(g.ForMs),
+		TTL:    milliseconds(g.ForMs),
 	}
 }
--- a/internal/wire/peer/peer_test.go
+++ b/internal/wire/peer/peer_test.go
@@ -31,7 +31,7 @@
 	report   demand.Report
 	snapshot *router.Snapshot
 	notice   Notice
-	ask      limit.Ask
+	ask      limit.Request
 	edits    []plan.Edit
 	events   []timeline.Event
 	lists    plan.State
@@ -63,10 +63,10 @@
 func (e *echo) Notify(n Notice) { e.notice = n }
 func (e *echo) Nudge(int)       {}
 
-func (e *echo) Ask(a limit.Ask) limit.Grant {
+func (e *echo) Ask(a limit.Request) limit.Grant {
 	e.ask = a
 
-	return limit.Grant{Amount: a.Want, For: time.Second}
+	return limit.Grant{Amount: a.Demand, TTL: time.Second}
 }
 
 func (e *echo) GrantShare(a share.Request) share.Loads          { return a.Wanted }
@@ -150,11 +150,11 @@
 	assert.NilError(t, c.Notify(ctx, n))
 	assert.DeepEqual(t, h.notice, n)
 
-	ask := limit.Ask{Entry: "e", Plan: "p", Want: limit.Amount{Rate: 1.5, Concurrency: 2, Tokens: 3}, Running: 4}
+	ask := limit.Request{Entry: "e", Plan: "p", Demand: limit.Amount{Rate: 1.5, Concurrency: 2, Tokens: 3}, Running: 4}
 	grant, err := c.Ask(ctx, ask)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, h.ask, ask)
-	assert.DeepEqual(t, grant, limit.Grant{Amount: ask.Want, For: time.Second})
+	assert.DeepEqual(t, grant, limit.Grant{Amount: ask.Demand, TTL: time.Second})
 
 	loads := share.Loads{Models: 2, Adapters: 3}
 	granted, err := c.GrantShare(ctx, share.Request{Cell: 1, Wanted: loads})
--- a/internal/wire/peer/service.go
+++ b/internal/wire/peer/service.go
@@ -41,7 +41,7 @@
 	// Nudge says that a lease was released to this process.
 	Nudge(cell int)
 	// Ask grants part of a plan's limits.
-	Ask(a limit.Ask) limit.Grant
+	Ask(a limit.Request) limit.Grant
 	// GrantShare grants a cell a part of the loads.
 	GrantShare(a share.Request) share.Loads
 	// Reserve keeps a target for one suspect for a time. It reports false
