--- a/internal/customer/list/list_test.go
+++ b/internal/customer/list/list_test.go
@@ -128,7 +128,7 @@
 
 			_, err := s.Put(ctx, put)
 
-			var unknown *UnknownError
+			var unknown *InDoubtError
 
 			assert.Assert(t, errors.As(err, &unknown))
 			p.SetFaults(platform.Faults{})
@@ -169,7 +169,7 @@
 	}
 
 	rapid.Check(t, func(t *rapid.T) {
-		var r Register
+		var r Cache
 
 		last := uint64(0)
 
@@ -204,7 +204,7 @@
 }
 
 func TestChanged(t *testing.T) {
-	var r Register
+	var r Cache
 
 	changed := r.Changed()
 	r.Apply([]plan.Edit{{Version: 2}})
--- a/internal/customer/list/register.go
+++ b/internal/customer/list/register.go
@@ -7,9 +7,9 @@
 	"github.com/fulmarcross/fulmarcross/internal/customer/plan"
 )
 
-// Register is an entry's copy of the lists. Reads of the current lists take no
+// Cache is an entry's copy of the lists. Reads of the current lists take no
 // lock. The zero value is at version zero.
-type Register struct {
+type Cache struct {
 	mu      sync.Mutex
 	current atomic.Pointer[plan.State]
 	// recent are the last edits, without gaps, up to the current version.
@@ -22,7 +22,7 @@
 const recentEdits = 512
 
 // Current returns the lists in force.
-func (r *Register) Current() plan.State {
+func (r *Cache) Current() plan.State {
 	if s := r.current.Load(); s != nil {
 		return *s
 	}
@@ -31,7 +31,7 @@
 }
 
 // Changed returns a channel that is closed when the version next grows.
-func (r *Register) Changed() <-chan struct{} {
+func (r *Cache) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
@@ -45,7 +45,7 @@
 // Apply applies the edits that follow the current version without a gap, and
 // returns those. Older edits are skipped, so the version never goes back, even if
 // a peer with an old copy sends them.
-func (r *Register) Apply(edits []plan.Edit) []plan.Edit {
+func (r *Cache) Apply(edits []plan.Edit) []plan.Edit {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
@@ -71,7 +71,7 @@
 
 // Restore replaces the lists by a whole copy if that is newer. It reports whether
 // it was.
-func (r *Register) Restore(s plan.State) bool {
+func (r *Cache) Restore(s plan.State) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
@@ -85,7 +85,7 @@
 	return true
 }
 
-func (r *Register) set(s plan.State) {
+func (r *Cache) set(s plan.State) {
 	r.current.Store(&s)
 
 	if r.changed != nil {
@@ -96,7 +96,7 @@
 
 // After returns the edits after the version. It reports false if some of them are
 // no longer retained.
-func (r *Register) After(version uint64) ([]plan.Edit, bool) {
+func (r *Cache) After(version uint64) ([]plan.Edit, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
--- a/internal/customer/list/store.go
+++ b/internal/customer/list/store.go
@@ -27,18 +27,18 @@
 	return fmt.Sprintf("list: the edit is based on version %d, but version %d is in force", e.Base, e.Version)
 }
 
-// UnknownError says that an edit is in doubt: it may or may not have been accepted.
+// InDoubtError says that an edit is in doubt: it may or may not have been accepted.
 // Putting the same edit again with the same WriteID is safe and resolves it.
-type UnknownError struct {
+type InDoubtError struct {
 	WriteID string
 	Err     error
 }
 
-func (e *UnknownError) Error() string {
+func (e *InDoubtError) Error() string {
 	return fmt.Sprintf("list: edit %s may or may not have been accepted: %v", e.WriteID, e.Err)
 }
 
-func (e *UnknownError) Unwrap() error { return e.Err }
+func (e *InDoubtError) Unwrap() error { return e.Err }
 
 // Put is an edit to be accepted.
 type Put struct {
@@ -71,12 +71,12 @@
 	case err == nil:
 		return e, nil
 	case !table.IsConflict(err):
-		return plan.Edit{}, &UnknownError{WriteID: p.WriteID, Err: err}
+		return plan.Edit{}, &InDoubtError{WriteID: p.WriteID, Err: err}
 	}
 
 	current, _, err = s.version(ctx)
 	if err != nil {
-		return plan.Edit{}, &UnknownError{WriteID: p.WriteID, Err: err}
+		return plan.Edit{}, &InDoubtError{WriteID: p.WriteID, Err: err}
 	}
 
 	return s.resolveStale(ctx, p, current)
@@ -99,7 +99,7 @@
 func (s *Store) resolveStale(ctx context.Context, p Put, current uint64) (plan.Edit, error) {
 	since, err := s.History(ctx, p.Base, maxHistory)
 	if err != nil {
-		return plan.Edit{}, &UnknownError{WriteID: p.WriteID, Err: err}
+		return plan.Edit{}, &InDoubtError{WriteID: p.WriteID, Err: err}
 	}
 
 	for _, e := range since {
--- a/internal/fleet/entry/entry.go
+++ b/internal/fleet/entry/entry.go
@@ -63,7 +63,7 @@
 	gate     Gate
 
 	log      timeline.Log
-	lists    list.Register
+	lists    list.Cache
 	store    list.Store
 	table    router.Table
 	cells    []*cell.Cell
--- a/internal/fleet/entry/operators.go
+++ b/internal/fleet/entry/operators.go
@@ -314,7 +314,7 @@
 	var (
 		faults   *schema.FaultsError
 		conflict *list.ConflictError
-		unknown  *list.UnknownError
+		unknown  *list.InDoubtError
 		before   *acceptedBeforeError
 		missing  *document.UnknownListError
 	)
--- a/internal/serving/gateway/gateway.go
+++ b/internal/serving/gateway/gateway.go
@@ -30,7 +30,7 @@
 
 // Config configures a gateway.
 type Config struct {
-	Lists    *list.Register
+	Lists    *list.Cache
 	Shares   *limit.Shares
 	Dispatch *dispatch.Dispatcher
 	Claims   *claim.Registry
