--- a/internal/customer/team/team.go
+++ b/internal/customer/team/team.go
@@ -30,9 +30,9 @@
 	// Burst is how many units may be used at once in addition to that.
 	Burst float64
 	Unit  Unit
-	// Plain is the cost of a request that names no number of tokens, if the limit
+	// DefaultCost is the cost of a request that names no number of tokens, if the limit
 	// counts tokens.
-	Plain float64
+	DefaultCost float64
 }
 
 // Bounded reports whether there is a limit.
@@ -45,7 +45,7 @@
 	case l.Unit == Requests:
 		return 1
 	case !named:
-		return l.Plain
+		return l.DefaultCost
 	}
 
 	return float64(max(0, tokens))
@@ -56,9 +56,9 @@
 	// Name is unique and is sent to targets with each request.
 	Name string
 	Keys []key.Digest
-	// Ranked says that Priority takes precedence over the priority of a request's
+	// HasPriority says that Priority takes precedence over the priority of a request's
 	// route.
-	Ranked bool
+	HasPriority bool
 	// Priority is the team's priority; 0 is the most urgent.
 	Priority int
 	Limit    Limit
@@ -79,13 +79,13 @@
 	team *Team
 }
 
-// FaultError says what is wrong with a list of teams. It never contains a key.
-type FaultError struct {
+// InvalidError says what is wrong with a list of teams. It never contains a key.
+type InvalidError struct {
 	Team   string
 	Reason string
 }
 
-func (e *FaultError) Error() string { return fmt.Sprintf("team %s: %s", e.Team, e.Reason) }
+func (e *InvalidError) Error() string { return fmt.Sprintf("team %s: %s", e.Team, e.Reason) }
 
 // NewSet returns the set of the teams. It fails if a team has no name, or if two
 // teams have the same name or share a key.
@@ -96,11 +96,11 @@
 		t := &teams[i]
 
 		if t.Name == "" {
-			return Set{}, &FaultError{Reason: "no name"}
+			return Set{}, &InvalidError{Reason: "no name"}
 		}
 
 		if s.byName[t.Name] != nil {
-			return Set{}, &FaultError{Team: t.Name, Reason: "named twice"}
+			return Set{}, &InvalidError{Team: t.Name, Reason: "named twice"}
 		}
 
 		s.byName[t.Name] = t
@@ -108,7 +108,7 @@
 
 		for _, k := range t.Keys {
 			if other, found := s.byKey[k]; found && other.team != t {
-				return Set{}, &FaultError{Team: t.Name, Reason: "has a key of team " + other.team.Name}
+				return Set{}, &InvalidError{Team: t.Name, Reason: "has a key of team " + other.team.Name}
 			}
 
 			s.byKey[k] = keyOwner{key: k, team: t}
@@ -149,10 +149,10 @@
 	return out
 }
 
-// Narrow returns an error for each team whose burst does not allow even one
+// CheckBursts returns an error for each team whose burst does not allow even one
 // request. Such a team is refused all or nearly all requests, which is seldom
 // intended, so the configuration that contains it should be reported.
-func (s *Set) Narrow() []error {
+func (s *Set) CheckBursts() []error {
 	var out []error
 
 	for _, t := range s.byName {
@@ -162,7 +162,7 @@
 		}
 
 		if least := max(1, l.Cost(0, false)); l.Burst < least {
-			out = append(out, &FaultError{Team: t.Name, Reason: fmt.Sprintf("the burst of %g does not allow one request of %g", l.Burst, least)})
+			out = append(out, &InvalidError{Team: t.Name, Reason: fmt.Sprintf("the burst of %g does not allow one request of %g", l.Burst, least)})
 		}
 	}
 
--- a/internal/customer/team/team_test.go
+++ b/internal/customer/team/team_test.go
@@ -47,7 +47,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := NewSet(tc.teams)
 
-			var fault *FaultError
+			var fault *InvalidError
 
 			assert.Assert(t, errors.As(err, &fault))
 			assert.Error(t, err, tc.want)
@@ -60,18 +60,18 @@
 		{Name: "ample", Limit: Limit{PerSecond: 5, Burst: 5}},
 		{Name: "none"},
 		{Name: "requests", Limit: Limit{PerSecond: 0.5, Burst: 0.5}},
-		{Name: "tokens", Limit: Limit{PerSecond: 100, Burst: 100, Unit: Tokens, Plain: 200}},
+		{Name: "tokens", Limit: Limit{PerSecond: 100, Burst: 100, Unit: Tokens, DefaultCost: 200}},
 	})
 	assert.NilError(t, err)
 
-	faults := fmt.Sprint(s.Narrow())
-	assert.Equal(t, len(s.Narrow()), 2, faults)
+	faults := fmt.Sprint(s.CheckBursts())
+	assert.Equal(t, len(s.CheckBursts()), 2, faults)
 	assert.Assert(t, strings.Contains(faults, "team requests: the burst of 0.5 does not allow one request of 1"), faults)
 	assert.Assert(t, strings.Contains(faults, "team tokens: the burst of 100 does not allow one request of 200"), faults)
 }
 
 func TestCost(t *testing.T) {
-	tokens := Limit{Unit: Tokens, Plain: 200}
+	tokens := Limit{Unit: Tokens, DefaultCost: 200}
 
 	assert.Equal(t, Limit{}.Cost(1500, true), 1.0)
 	assert.Equal(t, tokens.Cost(1500, true), 1500.0)
--- a/internal/fleet/node/watch.go
+++ b/internal/fleet/node/watch.go
@@ -152,7 +152,7 @@
 	n.routes.Store(route.NewTable(c))
 	n.cfg.Log.Info().Uint64("version", c.Version).Int("routes", len(c.Routes)).Int("services", len(c.Services)).Int("teams", c.Teams.Len()).Msg("configuration in force")
 
-	for _, err := range c.Teams.Narrow() {
+	for _, err := range c.Teams.CheckBursts() {
 		n.cfg.Log.Warn().Err(err).Uint64("version", c.Version).Msg("limit below one request")
 	}
 
--- a/internal/serving/relay/identify.go
+++ b/internal/serving/relay/identify.go
@@ -153,7 +153,7 @@
 // priority returns the request's priority: its team's if that has one, else its
 // route's.
 func (d *delivery) priority() int {
-	if d.team != nil && d.team.Ranked {
+	if d.team != nil && d.team.HasPriority {
 		return d.team.Priority
 	}
 
--- a/internal/serving/relay/identify_test.go
+++ b/internal/serving/relay/identify_test.go
@@ -67,7 +67,7 @@
 	w.server.Protocol = keyedProtocol{}
 
 	urgent := teamWithKey("b", "kb")
-	urgent.Ranked, urgent.Priority = true, 0
+	urgent.HasPriority, urgent.Priority = true, 0
 	w.config.Teams = newTeams(t, teamWithKey("a", "ka"), urgent)
 
 	return w
@@ -191,7 +191,7 @@
 	w.act = act
 
 	a := teamWithKey("a", "ka")
-	a.Limit = team.Limit{PerSecond: 100, Burst: 100, Unit: team.Tokens, Plain: 30}
+	a.Limit = team.Limit{PerSecond: 100, Burst: 100, Unit: team.Tokens, DefaultCost: 30}
 	w.config.Teams = newTeams(t, a)
 
 	l := &fakeLimiter{left: left}
