--- a/internal/fleet/roll/roll.go
+++ b/internal/fleet/membership/roll.go
@@ -5,7 +5,7 @@
 // not grow with their number.
 //
 // The package does no I/O and reads no clock. The zero value has no members.
-package roll
+package membership
 
 import (
 	"cmp"
@@ -25,28 +25,28 @@
 	Address netip.AddrPort
 	// Process distinguishes the processes of an instance.
 	Process string
-	// Born is the time of day of the process's start. Of two processes of an instance
+	// Started is the time of day of the process's start. Of two processes of an instance
 	// it shows the newer; zero means unknown.
-	Born time.Time
+	Started time.Time
 	// Strength is the share of a processor that the instance has.
 	Strength float64
-	// Beat is the heartbeat. It grows by one with each round of the process.
-	Beat uint64
+	// Heartbeat is the heartbeat. It grows by one with each round of the process.
+	Heartbeat uint64
 	// Leaving says that the process is shutting down.
 	Leaving bool
 }
 
 // Digest summarises a list: its members and their heartbeats.
 type Digest struct {
-	// Set is a hash of the members' processes.
-	Set uint64
-	// Beats are the members' heartbeats in the order of their ids. A leaving member's
+	// MembersHash is a hash of the members' processes.
+	MembersHash uint64
+	// Heartbeats are the members' heartbeats in the order of their ids. A leaving member's
 	// heartbeat is the highest possible.
-	Beats []uint64
+	Heartbeats []uint64
 }
 
-// Pulse is the heartbeat of a process, which is identified by its hash.
-type Pulse struct{ Process, Beat uint64 }
+// ProcessHeartbeat is the heartbeat of a process, which is identified by its hash.
+type ProcessHeartbeat struct{ Process, Heartbeat uint64 }
 
 func processHash(process string) uint64 { return xxhash.Sum64String(process) }
 
@@ -55,9 +55,9 @@
 const leavingHeartbeat = 1<<32 - 1
 
 const (
-	// Everybody is the largest number of members at which an entry gossips with all
+	// FullMeshLimit is the largest number of members at which an entry gossips with all
 	// of them in every round. Up to here a round costs less than a digest saves.
-	Everybody = 12
+	FullMeshLimit = 12
 	// fanOut is the number of members contacted in a round of a larger membership: a
 	// heartbeat then reaches 1,200 members in five rounds.
 	fanOut = 4
@@ -82,8 +82,8 @@
 	lastHeartbeat, listedAt time.Time
 }
 
-// Roll is the list of the other entries. It is not safe for concurrent use.
-type Roll struct {
+// List is the list of the other entries. It is not safe for concurrent use.
+type List struct {
 	// Self is this process. Its heartbeat is the number of rounds.
 	Self    Member
 	members map[instance.ID]*memberState
@@ -96,12 +96,12 @@
 	membersHash uint64
 }
 
-// Beat begins a round and returns the members to contact.
-func (r *Roll) Beat(now time.Time) []Member {
-	r.Self.Beat++
+// BeginRound begins a round and returns the members to contact.
+func (r *List) BeginRound(now time.Time) []Member {
+	r.Self.Heartbeat++
 	r.expire(now)
 
-	if len(r.members) <= Everybody {
+	if len(r.members) <= FullMeshLimit {
 		return r.All()
 	}
 
@@ -114,7 +114,7 @@
 // fingers returns the members one, two, four and so on places after this one in
 // the order of ids. Contacting only these keeps an entry's connections few, and
 // still spreads a heartbeat to all within a few rounds.
-func (r *Roll) fingers() []Member {
+func (r *List) fingers() []Member {
 	r.sort()
 
 	self := slices.Index(r.sorted, nil)
@@ -127,7 +127,7 @@
 	return out
 }
 
-func (r *Roll) expire(now time.Time) {
+func (r *List) expire(now time.Time) {
 	for id, e := range r.members {
 		if now.Sub(e.lastHeartbeat) > retention && now.Sub(e.listedAt) > retention {
 			r.addTombstone(e, now)
@@ -144,7 +144,7 @@
 	}
 }
 
-func (r *Roll) addTombstone(e *memberState, now time.Time) {
+func (r *List) addTombstone(e *memberState, now time.Time) {
 	if r.tombstones == nil {
 		r.tombstones = make(map[uint64]time.Time)
 	}
@@ -152,12 +152,12 @@
 	r.tombstones[e.hash] = now
 }
 
-// Meet adds a member that another entry or a row of the store names. A listed
+// Add adds a member that another entry or a row of the store names. A listed
 // process is replaced only by a newer one of the same instance.
 //
 // It guards against outdated rows and lists: just after an instance has restarted
 // they name its former process, which must not replace the new one.
-func (r *Roll) Meet(m Member, now time.Time) {
+func (r *List) Add(m Member, now time.Time) {
 	if m.ID == r.Self.ID || m.ID == "" {
 		return
 	}
@@ -172,32 +172,32 @@
 	case old == nil:
 		r.insert(m, now)
 	case old.Process == m.Process:
-		old.recordHeartbeat(m.Beat, now)
+		old.recordHeartbeat(m.Heartbeat, now)
 		old.fillIn(m)
-	case m.Born.After(old.Born):
+	case m.Started.After(old.Started):
 		r.addTombstone(old, now)
 		r.insert(m, now)
 	}
 }
 
-func (r *Roll) insert(m Member, now time.Time) {
+func (r *List) insert(m Member, now time.Time) {
 	if r.members == nil {
 		r.members = make(map[instance.ID]*memberState)
 	}
 
 	e := &memberState{Member: m, hash: processHash(m.Process), listedAt: now}
 	if m.Leaving {
-		e.Beat = leavingHeartbeat
+		e.Heartbeat = leavingHeartbeat
 	}
 
 	r.members[m.ID] = e
 	r.sorted = nil
 }
 
-// Heard records direct contact with a member's process. Direct contact overrides
+// RecordContact records direct contact with a member's process. Direct contact overrides
 // all that others reported about its instance, also if the time of day was set
 // back between two starts.
-func (r *Roll) Heard(m Member, now time.Time) {
+func (r *List) RecordContact(m Member, now time.Time) {
 	if m.ID == r.Self.ID || m.ID == "" {
 		return
 	}
@@ -209,13 +209,13 @@
 		r.insert(m, now)
 	}
 
-	r.Meet(m, now)
+	r.Add(m, now)
 
 	e := r.members[m.ID]
 	e.lastHeartbeat = now
 
 	if m.Leaving {
-		e.Beat, e.Leaving = leavingHeartbeat, true
+		e.Heartbeat, e.Leaving = leavingHeartbeat, true
 	}
 }
 
@@ -225,23 +225,23 @@
 		e.Strength = m.Strength
 	}
 
-	if e.Born.IsZero() {
-		e.Born = m.Born
+	if e.Started.IsZero() {
+		e.Started = m.Started
 	}
 }
 
 // recordHeartbeat records a heartbeat if it is newer.
 func (e *memberState) recordHeartbeat(heartbeat uint64, now time.Time) {
-	if heartbeat <= e.Beat {
+	if heartbeat <= e.Heartbeat {
 		return
 	}
 
-	e.Beat, e.lastHeartbeat = heartbeat, now
+	e.Heartbeat, e.lastHeartbeat = heartbeat, now
 	e.Leaving = e.Leaving || heartbeat == leavingHeartbeat
 }
 
 // sort rebuilds the sorted members if the list has changed.
-func (r *Roll) sort() {
+func (r *List) sort() {
 	if r.sorted != nil {
 		return
 	}
@@ -262,7 +262,7 @@
 }
 
 // member returns the member that an element of sorted stands for.
-func (r *Roll) member(e *memberState) *Member {
+func (r *List) member(e *memberState) *Member {
 	if e == nil {
 		return &r.Self
 	}
@@ -271,53 +271,53 @@
 }
 
 // Digest returns the digest of this list.
-func (r *Roll) Digest() Digest {
+func (r *List) Digest() Digest {
 	r.sort()
 
-	d := Digest{Set: r.membersHash, Beats: make([]uint64, len(r.sorted))}
+	d := Digest{MembersHash: r.membersHash, Heartbeats: make([]uint64, len(r.sorted))}
 	for i, e := range r.sorted {
-		d.Beats[i] = r.member(e).Beat
+		d.Heartbeats[i] = r.member(e).Heartbeat
 	}
 
 	return d
 }
 
-// Take applies the heartbeats of another entry's digest. It reports false if that
+// ApplyDigest applies the heartbeats of another entry's digest. It reports false if that
 // entry's list has other members, so that the heartbeats cannot be assigned.
-func (r *Roll) Take(d Digest, now time.Time) bool {
+func (r *List) ApplyDigest(d Digest, now time.Time) bool {
 	r.sort()
 
-	if d.Set != r.membersHash || len(d.Beats) != len(r.sorted) {
+	if d.MembersHash != r.membersHash || len(d.Heartbeats) != len(r.sorted) {
 		return false
 	}
 
 	for i, e := range r.sorted {
 		if e != nil {
-			e.recordHeartbeat(d.Beats[i], now)
+			e.recordHeartbeat(d.Heartbeats[i], now)
 		}
 	}
 
 	return true
 }
 
-// Pulses returns the heartbeats of all members and of this process, for an entry
+// Heartbeats returns the heartbeats of all members and of this process, for an entry
 // whose list differs.
-func (r *Roll) Pulses() []Pulse {
-	out := make([]Pulse, 0, len(r.members)+1)
+func (r *List) Heartbeats() []ProcessHeartbeat {
+	out := make([]ProcessHeartbeat, 0, len(r.members)+1)
 	for _, e := range r.members {
-		out = append(out, Pulse{e.hash, e.Beat})
+		out = append(out, ProcessHeartbeat{e.hash, e.Heartbeat})
 	}
 
-	return append(out, Pulse{processHash(r.Self.Process), r.Self.Beat})
+	return append(out, ProcessHeartbeat{processHash(r.Self.Process), r.Self.Heartbeat})
 }
 
-// TakePulses applies the heartbeats of an entry whose list differs. It returns the
+// ApplyHeartbeats applies the heartbeats of an entry whose list differs. It returns the
 // hashes of the processes that are unknown here.
 //
 // With hundreds of entries, some of them are always starting or ending, so lists
 // differ more often than not, though by few members. Sending whole members each
 // time would cost too much.
-func (r *Roll) TakePulses(pulses []Pulse, now time.Time) []uint64 {
+func (r *List) ApplyHeartbeats(pulses []ProcessHeartbeat, now time.Time) []uint64 {
 	listed := make(map[uint64]*memberState, len(r.members))
 	for _, e := range r.members {
 		listed[e.hash] = e
@@ -330,7 +330,7 @@
 
 		switch e := listed[p.Process]; {
 		case e != nil:
-			e.recordHeartbeat(p.Beat, now)
+			e.recordHeartbeat(p.Heartbeat, now)
 		case !removed && p.Process != processHash(r.Self.Process):
 			unknown = append(unknown, p.Process)
 		}
@@ -339,8 +339,8 @@
 	return unknown
 }
 
-// Named returns the members, including this process, with the given hashes.
-func (r *Roll) Named(hashes []uint64) []Member {
+// ByHash returns the members, including this process, with the given hashes.
+func (r *List) ByHash(hashes []uint64) []Member {
 	if len(hashes) == 0 {
 		return nil
 	}
@@ -366,35 +366,35 @@
 }
 
 // Alive returns the members with a recent heartbeat that are not leaving.
-func (r *Roll) Alive(now time.Time) []Member {
+func (r *List) Alive(now time.Time) []Member {
 	return r.filter(func(e *memberState) bool { return r.alive(e, now) })
 }
 
-func (r *Roll) alive(e *memberState, now time.Time) bool {
+func (r *List) alive(e *memberState, now time.Time) bool {
 	limit := deadAfter
-	if len(r.members) > Everybody {
+	if len(r.members) > FullMeshLimit {
 		limit = deadAfterLarge
 	}
 
 	return !e.Leaving && now.Sub(e.lastHeartbeat) < limit
 }
 
-// Likely returns the members that are alive, and those that were listed recently
+// AliveOrNew returns the members that are alive, and those that were listed recently
 // and have not sent a heartbeat yet.
-func (r *Roll) Likely(now time.Time) []Member {
+func (r *List) AliveOrNew(now time.Time) []Member {
 	return r.filter(func(e *memberState) bool {
 		return r.alive(e, now) || !e.Leaving && e.lastHeartbeat.IsZero() && now.Sub(e.listedAt) < deadAfter
 	})
 }
 
 // Len returns the number of members.
-func (r *Roll) Len() int { return len(r.members) }
+func (r *List) Len() int { return len(r.members) }
 
 // All returns all members.
-func (r *Roll) All() []Member { return r.filter(func(*memberState) bool { return true }) }
+func (r *List) All() []Member { return r.filter(func(*memberState) bool { return true }) }
 
 // Get returns a member.
-func (r *Roll) Get(id instance.ID) (Member, bool) {
+func (r *List) Get(id instance.ID) (Member, bool) {
 	if e := r.members[id]; e != nil {
 		return e.Member, true
 	}
@@ -402,7 +402,7 @@
 	return Member{}, false
 }
 
-func (r *Roll) filter(keep func(*memberState) bool) []Member {
+func (r *List) filter(keep func(*memberState) bool) []Member {
 	out := make([]Member, 0, len(r.members))
 
 	for _, e := range r.members {
--- a/internal/fleet/roll/roll_test.go
+++ b/internal/fleet/membership/roll_test.go
@@ -1,4 +1,4 @@
-package roll
+package membership
 
 import (
 	"fmt"
@@ -19,7 +19,7 @@
 type gossipGroup struct {
 	t     *testing.T
 	now   time.Time
-	lists map[instance.ID]*Roll
+	lists map[instance.ID]*List
 	// exchanges counts all exchanges, differing those between entries whose lists
 	// differ, and sent the members that were sent in full.
 	exchanges, differing, sent int
@@ -28,7 +28,7 @@
 func newGroup(t *testing.T, n int) *gossipGroup {
 	t.Helper()
 
-	c := &gossipGroup{t: t, now: now, lists: make(map[instance.ID]*Roll)}
+	c := &gossipGroup{t: t, now: now, lists: make(map[instance.ID]*List)}
 	for i := range n {
 		c.start(i, "first")
 	}
@@ -38,19 +38,19 @@
 
 func (c *gossipGroup) start(i int, process string) {
 	id := instance.ID(fmt.Sprintf("e%04d", i))
-	r := &Roll{Self: Member{ID: id, Process: string(id) + process, Born: c.now, Address: netip.MustParseAddrPort("127.0.0.1:1")}}
+	r := &List{Self: Member{ID: id, Process: string(id) + process, Started: c.now, Address: netip.MustParseAddrPort("127.0.0.1:1")}}
 	c.lists[id] = r
 
 	// Each entry finds a neighbour through the store.
 	for _, j := range []int{i - 1, i + 1} {
 		if other := c.lists[instance.ID(fmt.Sprintf("e%04d", j))]; other != nil {
-			r.Meet(other.Self, c.now)
+			r.Add(other.Self, c.now)
 		}
 	}
 }
 
 // exchange plays both ends of an exchange.
-func (c *gossipGroup) exchange(from *Roll, to Member) {
+func (c *gossipGroup) exchange(from *List, to Member) {
 	r := c.lists[to.ID]
 	if r == nil || r.Self.Process != to.Process {
 		return
@@ -58,17 +58,17 @@
 
 	c.exchanges++
 
-	r.Heard(from.Self, c.now)
-	same := r.Take(from.Digest(), c.now)
-	from.Heard(r.Self, c.now)
+	r.RecordContact(from.Self, c.now)
+	same := r.ApplyDigest(from.Digest(), c.now)
+	from.RecordContact(r.Self, c.now)
 
-	if !from.Take(r.Digest(), c.now) || !same {
+	if !from.ApplyDigest(r.Digest(), c.now) || !same {
 		c.differing++
 
-		for _, m := range r.Named(from.TakePulses(r.Pulses(), c.now)) {
+		for _, m := range r.ByHash(from.ApplyHeartbeats(r.Heartbeats(), c.now)) {
 			c.sent++
 
-			from.Meet(m, c.now)
+			from.Add(m, c.now)
 		}
 	}
 }
@@ -78,7 +78,7 @@
 		c.now = c.now.Add(round)
 
 		for _, r := range c.lists {
-			for _, to := range r.Beat(c.now) {
+			for _, to := range r.BeginRound(c.now) {
 				c.exchange(r, to)
 			}
 		}
@@ -198,23 +198,23 @@
 // process, and then reads a row or a peer's list that still names the former one. If
 // it took the new one for gone, it would send it no updates for half a minute.
 func TestOldRow(t *testing.T) {
-	former := Member{ID: "b", Process: "b1", Born: time.Unix(100, 0)}
-	present := Member{ID: "b", Process: "b2", Born: time.Unix(200, 0)}
+	former := Member{ID: "b", Process: "b1", Started: time.Unix(100, 0)}
+	present := Member{ID: "b", Process: "b2", Started: time.Unix(200, 0)}
 	// The time of day was set back between the two starts.
-	setBack := Member{ID: "b", Process: "b3", Born: time.Unix(50, 0)}
+	setBack := Member{ID: "b", Process: "b3", Started: time.Unix(50, 0)}
 
 	for name, tc := range map[string]struct {
-		play func(r *Roll)
+		play func(r *List)
 		want string
 	}{
-		"contact, then an old row":     {func(r *Roll) { r.Heard(present, now); r.Meet(former, now) }, "b2"},
-		"old row, then a newer one":    {func(r *Roll) { r.Meet(former, now); r.Meet(present, now) }, "b2"},
-		"new row, then an old one":     {func(r *Roll) { r.Meet(present, now); r.Meet(former, now) }, "b2"},
-		"row without a time":           {func(r *Roll) { r.Heard(present, now); r.Meet(Member{ID: "b", Process: "b0"}, now) }, "b2"},
-		"contact with an earlier time": {func(r *Roll) { r.Meet(present, now); r.Heard(setBack, now) }, "b3"},
-		"taken for gone, then contact": {func(r *Roll) { r.Meet(former, now); r.Meet(present, now); r.Heard(former, now) }, "b1"},
+		"contact, then an old row":     {func(r *List) { r.RecordContact(present, now); r.Add(former, now) }, "b2"},
+		"old row, then a newer one":    {func(r *List) { r.Add(former, now); r.Add(present, now) }, "b2"},
+		"new row, then an old one":     {func(r *List) { r.Add(present, now); r.Add(former, now) }, "b2"},
+		"row without a time":           {func(r *List) { r.RecordContact(present, now); r.Add(Member{ID: "b", Process: "b0"}, now) }, "b2"},
+		"contact with an earlier time": {func(r *List) { r.Add(present, now); r.RecordContact(setBack, now) }, "b3"},
+		"taken for gone, then contact": {func(r *List) { r.Add(former, now); r.Add(present, now); r.RecordContact(former, now) }, "b1"},
 	} {
-		r := &Roll{Self: Member{ID: "a", Process: "a1"}}
+		r := &List{Self: Member{ID: "a", Process: "a1"}}
 		tc.play(r)
 
 		m, _ := r.Get("b")
@@ -226,9 +226,9 @@
 // the entry that first named it did not have the value. Then every instance would
 // consider itself the strongest, and all would try to acquire the lease at once.
 func TestStrengthFilledIn(t *testing.T) {
-	r := &Roll{Self: Member{ID: "a", Process: "a1"}}
-	r.Meet(Member{ID: "b", Process: "b1"}, time.Unix(1, 0))
-	r.Heard(Member{ID: "b", Process: "b1", Strength: 0.8}, time.Unix(2, 0))
+	r := &List{Self: Member{ID: "a", Process: "a1"}}
+	r.Add(Member{ID: "b", Process: "b1"}, time.Unix(1, 0))
+	r.RecordContact(Member{ID: "b", Process: "b1", Strength: 0.8}, time.Unix(2, 0))
 
 	m, _ := r.Get("b")
 	assert.Equal(t, m.Strength, 0.8)
@@ -237,12 +237,12 @@
 // TestDigestOfOtherList guards against the heartbeats of a list with other members being
 // applied to this one.
 func TestDigestOfOtherList(t *testing.T) {
-	a := &Roll{Self: Member{ID: "a", Process: "a1"}}
-	a.Meet(Member{ID: "b", Process: "b1"}, time.Unix(1, 0))
+	a := &List{Self: Member{ID: "a", Process: "a1"}}
+	a.Add(Member{ID: "b", Process: "b1"}, time.Unix(1, 0))
 
-	other := &Roll{Self: Member{ID: "c", Process: "c1"}}
-	other.Meet(Member{ID: "b", Process: "b2", Beat: 7}, time.Unix(1, 0))
+	other := &List{Self: Member{ID: "c", Process: "c1"}}
+	other.Add(Member{ID: "b", Process: "b2", Heartbeat: 7}, time.Unix(1, 0))
 
-	assert.Assert(t, !a.Take(other.Digest(), time.Unix(2, 0)))
+	assert.Assert(t, !a.ApplyDigest(other.Digest(), time.Unix(2, 0)))
 	assert.Equal(t, len(a.Alive(time.Unix(2, 0))), 0)
 }
--- a/internal/fleet/node/homes.go
+++ b/internal/fleet/node/homes.go
@@ -9,7 +9,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/customer/quota"
 	"github.com/fulmarcross/fulmarcross/internal/fleet/clock"
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
-	"github.com/fulmarcross/fulmarcross/internal/fleet/roll"
+	"github.com/fulmarcross/fulmarcross/internal/fleet/membership"
 )
 
 const (
@@ -43,7 +43,7 @@
 
 // present returns the members that are known to be there: those that are alive,
 // and after a start, when few were heard yet, those that have answered.
-func (q *quotas) present() []roll.Member {
+func (q *quotas) present() []membership.Member {
 	out := q.node.peers.alive()
 
 	if clock.Now().Sub(q.lender.Started) > formerAsked {
@@ -69,11 +69,11 @@
 
 // choose returns the homes of all limits: a few of the strongest entries that are
 // alive and answer. The parts of a group have different homes.
-func (q *quotas) choose(alive []roll.Member) quota.Owners {
+func (q *quotas) choose(alive []membership.Member) quota.Owners {
 	now := clock.Now()
 
 	q.mu.Lock()
-	alive = slices.DeleteFunc(alive, func(m roll.Member) bool { return q.passedOver(m.ID, now) })
+	alive = slices.DeleteFunc(alive, func(m membership.Member) bool { return q.passedOver(m.ID, now) })
 	q.mu.Unlock()
 
 	if !q.node.stopping.Load() {
@@ -91,8 +91,8 @@
 
 // strongest returns so many of the strongest members, in an order on which all
 // entries agree.
-func strongest(members []roll.Member, n int) []roll.Member {
-	slices.SortFunc(members, func(a, b roll.Member) int {
+func strongest(members []membership.Member, n int) []membership.Member {
+	slices.SortFunc(members, func(a, b membership.Member) int {
 		// Peers know each other's strength as a float32 only.
 		return cmp.Or(cmp.Compare(float32(b.Strength), float32(a.Strength)), cmp.Compare(instance.Score("limits", b.ID), instance.Score("limits", a.ID)))
 	})
@@ -101,7 +101,7 @@
 }
 
 // divide divides the limits among their homes.
-func divide(among []roll.Member) quota.Owners {
+func divide(among []membership.Member) quota.Owners {
 	var out quota.Owners
 
 	ids, runs := make([]instance.ID, len(among)), make(map[instance.ID]string)
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -22,7 +22,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/clock"
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 	"github.com/fulmarcross/fulmarcross/internal/fleet/inventory"
-	"github.com/fulmarcross/fulmarcross/internal/fleet/roll"
+	"github.com/fulmarcross/fulmarcross/internal/fleet/membership"
 	"github.com/fulmarcross/fulmarcross/internal/placement/holder"
 	"github.com/fulmarcross/fulmarcross/internal/placement/lease"
 	"github.com/fulmarcross/fulmarcross/internal/platform/table"
@@ -159,7 +159,7 @@
 	n.peers.node = n
 	n.quotas.node, n.quotas.soon = n, make(chan struct{}, 1)
 	n.quotas.home.Slack, n.quotas.lender.Started = cfg.Slack, clock.Now()
-	n.peers.roll.Self = roll.Member{ID: cfg.Self, Address: cfg.Peers, Process: n.process, Born: time.Now(), Strength: cfg.Strength}
+	n.peers.roll.Self = membership.Member{ID: cfg.Self, Address: cfg.Peers, Process: n.process, Started: time.Now(), Strength: cfg.Strength}
 
 	n.metrics, n.unscope = n.page.Scope()
 	n.calls.metrics, n.traffic.metrics = n.metrics, n.metrics
@@ -396,7 +396,7 @@
 }
 
 // candidates returns the members as those that may hold the lease.
-func candidates(members []roll.Member) []holder.Candidate {
+func candidates(members []membership.Member) []holder.Candidate {
 	out := make([]holder.Candidate, len(members))
 
 	for i, m := range members {
--- a/internal/fleet/node/peers.go
+++ b/internal/fleet/node/peers.go
@@ -11,7 +11,7 @@
 
 	"github.com/fulmarcross/fulmarcross/internal/fleet/clock"
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
-	"github.com/fulmarcross/fulmarcross/internal/fleet/roll"
+	"github.com/fulmarcross/fulmarcross/internal/fleet/membership"
 	"github.com/fulmarcross/fulmarcross/internal/placement/holder"
 	"github.com/fulmarcross/fulmarcross/internal/platform/table"
 	"github.com/fulmarcross/fulmarcross/internal/wire/frame"
@@ -37,13 +37,13 @@
 	scanned atomic.Bool
 
 	mu   sync.Mutex
-	roll roll.Roll
+	roll membership.List
 	ways map[instance.ID]*peer
 }
 
 // peer is the way to another entry's process.
 type peer struct {
-	roll.Member
+	membership.Member
 
 	client *news.Client
 	// kick says that there is something to tell it.
@@ -116,7 +116,7 @@
 
 // write puts this entry's row into the store, whatever stands there.
 func (p *peers) write(ctx context.Context) error {
-	value, err := json.Marshal(entryRow{Address: p.node.cfg.Peers.String(), Process: p.node.process, BornMs: p.roll.Self.Born.UnixMilli(), Strength: p.node.cfg.Strength})
+	value, err := json.Marshal(entryRow{Address: p.node.cfg.Peers.String(), Process: p.node.process, BornMs: p.roll.Self.Started.UnixMilli(), Strength: p.node.cfg.Strength})
 	if err != nil {
 		return err
 	}
@@ -153,8 +153,8 @@
 			continue
 		}
 
-		p.roll.Meet(roll.Member{
-			ID: instance.ID(r.Key[len(entryPrefix):]), Address: at, Process: row.Process, Born: time.UnixMilli(row.BornMs), Strength: row.Strength,
+		p.roll.Add(membership.Member{
+			ID: instance.ID(r.Key[len(entryPrefix):]), Address: at, Process: row.Process, Started: time.UnixMilli(row.BornMs), Strength: row.Strength,
 		}, time.Now())
 	}
 
@@ -164,7 +164,7 @@
 // round greets those whose turn it is.
 func (p *peers) round(ctx context.Context) {
 	p.mu.Lock()
-	members := p.roll.Beat(time.Now())
+	members := p.roll.BeginRound(time.Now())
 	p.tidy()
 	p.mu.Unlock()
 
@@ -217,11 +217,11 @@
 	}
 }
 
-func (p *peers) takePulses(pulses []roll.Pulse) []uint64 {
+func (p *peers) takePulses(pulses []membership.ProcessHeartbeat) []uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return p.roll.TakePulses(pulses, time.Now())
+	return p.roll.ApplyHeartbeats(pulses, time.Now())
 }
 
 // greeting returns this entry's own greeting.
@@ -240,13 +240,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	p.roll.Heard(g.From, now)
+	p.roll.RecordContact(g.From, now)
 
 	for _, m := range g.Known {
-		p.roll.Meet(m, now)
+		p.roll.Add(m, now)
 	}
 
-	return p.roll.Take(g.Digest, now)
+	return p.roll.ApplyDigest(g.Digest, now)
 }
 
 // answer takes in a greeting and returns what the sender does not know or asks
@@ -257,16 +257,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	out := news.Greeting{From: p.roll.Self, Digest: p.roll.Digest(), Known: p.roll.Named(g.Want)}
+	out := news.Greeting{From: p.roll.Self, Digest: p.roll.Digest(), Known: p.roll.ByHash(g.Want)}
 	if !same && len(g.Want) == 0 {
-		out.Pulses = p.roll.Pulses()
+		out.Pulses = p.roll.Heartbeats()
 	}
 
 	return out
 }
 
 // alive returns the peers that were heard lately and are not leaving.
-func (p *peers) alive() []roll.Member {
+func (p *peers) alive() []membership.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -285,7 +285,7 @@
 }
 
 // all returns all peers that are listed, alive or not.
-func (p *peers) all() []roll.Member {
+func (p *peers) all() []membership.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -293,7 +293,7 @@
 }
 
 // self returns this process as the others see it.
-func (p *peers) self() roll.Member {
+func (p *peers) self() membership.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -302,11 +302,11 @@
 
 // likely returns the peers that are alive or may be, because nothing was heard
 // of them yet.
-func (p *peers) likely() []roll.Member {
+func (p *peers) likely() []membership.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return p.roll.Likely(time.Now())
+	return p.roll.AliveOrNew(time.Now())
 }
 
 // listed returns how many peers are known, alive or not.
@@ -327,7 +327,7 @@
 	var wg sync.WaitGroup
 
 	// These tell the others.
-	for _, m := range all[:min(len(all), roll.Everybody)] {
+	for _, m := range all[:min(len(all), membership.FullMeshLimit)] {
 		wg.Go(func() {
 			// A peer that does not hear it finds out by itself.
 			_ = p.greet(ctx, m.ID)
@@ -419,7 +419,7 @@
 			poke(q.kick)
 		}
 
-		if peers := p.listed(); peers > roll.Everybody {
+		if peers := p.listed(); peers > membership.FullMeshLimit {
 			_ = clock.Sleep(ctx, time.Duration(peers)*tellPace)
 		}
 	}
--- a/internal/fleet/node/view_test.go
+++ b/internal/fleet/node/view_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 	"github.com/fulmarcross/fulmarcross/internal/fleet/inventory"
-	"github.com/fulmarcross/fulmarcross/internal/fleet/roll"
+	"github.com/fulmarcross/fulmarcross/internal/fleet/membership"
 )
 
 // listing returns an entry that follows no store by itself.
@@ -35,7 +35,7 @@
 func TestViewsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := listing("a"), listing("b")
-		q := &peer{Member: roll.Member{ID: "a"}}
+		q := &peer{Member: membership.Member{ID: "a"}}
 
 		var log []inventory.Change
 
--- a/internal/wire/news/greeting.go
+++ b/internal/wire/news/greeting.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
-	"github.com/fulmarcross/fulmarcross/internal/fleet/roll"
+	"github.com/fulmarcross/fulmarcross/internal/fleet/membership"
 )
 
 // GreetingMessage is a Greeting on the wire.
@@ -55,24 +55,24 @@
 	return time.UnixMilli(ms)
 }
 
-func fromMember(m roll.Member) MemberMessage {
+func fromMember(m membership.Member) MemberMessage {
 	return MemberMessage{
-		ID: string(m.ID), Address: m.Address.String(), Process: m.Process, BornMs: bornMs(m.Born), Strength: float32(m.Strength), Beat: m.Beat, Leaving: m.Leaving,
+		ID: string(m.ID), Address: m.Address.String(), Process: m.Process, BornMs: bornMs(m.Started), Strength: float32(m.Strength), Beat: m.Heartbeat, Leaving: m.Leaving,
 	}
 }
 
-func toMember(m MemberMessage) (roll.Member, error) {
+func toMember(m MemberMessage) (membership.Member, error) {
 	address, err := netip.ParseAddrPort(m.Address)
 
-	return roll.Member{
-		ID: instance.ID(m.ID), Address: address, Process: m.Process, Born: born(m.BornMs), Strength: float64(m.Strength), Beat: m.Beat, Leaving: m.Leaving,
+	return membership.Member{
+		ID: instance.ID(m.ID), Address: address, Process: m.Process, Started: born(m.BornMs), Strength: float64(m.Strength), Heartbeat: m.Beat, Leaving: m.Leaving,
 	}, err
 }
 
 func fromGreeting(g Greeting) GreetingMessage {
-	out := GreetingMessage{From: fromMember(g.From), Set: g.Digest.Set, Beats: g.Digest.Beats, Want: g.Want}
+	out := GreetingMessage{From: fromMember(g.From), Set: g.Digest.MembersHash, Beats: g.Digest.Heartbeats, Want: g.Want}
 	for _, p := range g.Pulses {
-		out.Pulses = append(out.Pulses, PulseMessage{Process: p.Process, Beat: p.Beat})
+		out.Pulses = append(out.Pulses, PulseMessage{Process: p.Process, Beat: p.Heartbeat})
 	}
 
 	for _, m := range g.Known {
@@ -88,9 +88,9 @@
 		return Greeting{}, err
 	}
 
-	out := Greeting{From: from, Digest: roll.Digest{Set: in.Set, Beats: in.Beats}, Want: in.Want}
+	out := Greeting{From: from, Digest: membership.Digest{MembersHash: in.Set, Heartbeats: in.Beats}, Want: in.Want}
 	for _, p := range in.Pulses {
-		out.Pulses = append(out.Pulses, roll.Pulse{Process: p.Process, Beat: p.Beat})
+		out.Pulses = append(out.Pulses, membership.ProcessHeartbeat{Process: p.Process, Heartbeat: p.Beat})
 	}
 
 	for _, known := range in.Known {
--- a/internal/wire/news/news.go
+++ b/internal/wire/news/news.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
-	"github.com/fulmarcross/fulmarcross/internal/fleet/roll"
+	"github.com/fulmarcross/fulmarcross/internal/fleet/membership"
 	"github.com/fulmarcross/fulmarcross/internal/placement/demand"
 	"github.com/fulmarcross/fulmarcross/internal/placement/holder"
 	"github.com/fulmarcross/fulmarcross/internal/serving/request"
@@ -18,16 +18,16 @@
 
 // Greeting is what entries tell each other to be known.
 type Greeting struct {
-	From roll.Member
+	From membership.Member
 	// Digest is the sender's list in short.
-	Digest roll.Digest
+	Digest membership.Digest
 	// Pulses are the beats of the sender's list. Only answers carry them, and
 	// only when the lists differ.
-	Pulses []roll.Pulse
+	Pulses []membership.ProcessHeartbeat
 	// Want are the processes that the sender wants to know of, and Known those
 	// that the other had wanted to.
 	Want  []uint64
-	Known []roll.Member
+	Known []membership.Member
 }
 
 // Handler is what an entry does for its peers.
--- a/internal/wire/news/news_test.go
+++ b/internal/wire/news/news_test.go
@@ -13,7 +13,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/customer/quota"
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 	"github.com/fulmarcross/fulmarcross/internal/fleet/inventory"
-	"github.com/fulmarcross/fulmarcross/internal/fleet/roll"
+	"github.com/fulmarcross/fulmarcross/internal/fleet/membership"
 	"github.com/fulmarcross/fulmarcross/internal/placement/demand"
 	"github.com/fulmarcross/fulmarcross/internal/placement/holder"
 	"github.com/fulmarcross/fulmarcross/internal/placement/ledger"
@@ -22,8 +22,8 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/frame"
 )
 
-func member(id instance.ID) roll.Member {
-	return roll.Member{ID: id, Address: netip.MustParseAddrPort("10.0.0.1:7"), Process: string(id) + "-process", Born: time.UnixMilli(7), Strength: 0.5, Beat: 3}
+func member(id instance.ID) membership.Member {
+	return membership.Member{ID: id, Address: netip.MustParseAddrPort("10.0.0.1:7"), Process: string(id) + "-process", Started: time.UnixMilli(7), Strength: 0.5, Heartbeat: 3}
 }
 
 // echo keeps what it gets.
@@ -40,7 +40,7 @@
 func (e *echo) Greet(g Greeting) Greeting {
 	e.greeting = g
 
-	return Greeting{From: member("other"), Pulses: []roll.Pulse{{Process: 1 << 63, Beat: 2}}, Known: []roll.Member{member("third")}}
+	return Greeting{From: member("other"), Pulses: []membership.ProcessHeartbeat{{Process: 1 << 63, Heartbeat: 2}}, Known: []membership.Member{member("third")}}
 }
 
 func (e *echo) Hear(d holder.Delta) holder.Version {
@@ -91,13 +91,13 @@
 	c := &Client{Caller: frame.Caller{Address: netip.MustParseAddrPort(l.Addr().String())}}
 	defer c.Close()
 
-	greeting := Greeting{From: member("a"), Digest: roll.Digest{Set: 1 << 60, Beats: []uint64{1, 2}}, Want: []uint64{3}}
+	greeting := Greeting{From: member("a"), Digest: membership.Digest{MembersHash: 1 << 60, Heartbeats: []uint64{1, 2}}, Want: []uint64{3}}
 	greeting.From.Leaving = true
 	g, err := c.Greet(t.Context(), greeting)
 	assert.NilError(t, err)
 	assert.Equal(t, g.From, member("other"))
-	assert.DeepEqual(t, g.Known, []roll.Member{member("third")}, cmpopts.EquateComparable(netip.AddrPort{}))
-	assert.DeepEqual(t, g.Pulses, []roll.Pulse{{Process: 1 << 63, Beat: 2}})
+	assert.DeepEqual(t, g.Known, []membership.Member{member("third")}, cmpopts.EquateComparable(netip.AddrPort{}))
+	assert.DeepEqual(t, g.Pulses, []membership.ProcessHeartbeat{{Process: 1 << 63, Heartbeat: 2}})
 	assert.Equal(t, got.greeting.From, greeting.From)
 	assert.DeepEqual(t, got.greeting.Want, greeting.Want)
 	assert.DeepEqual(t, got.greeting.Digest, greeting.Digest)
