--- a/internal/fleet/inventory/inventory.go
+++ b/internal/fleet/inventory/inventory.go
@@ -20,13 +20,13 @@
 	Slots      int
 	// Leaving says that the target accepts no new work.
 	Leaving bool
-	// Born is when the target's process started, in milliseconds since 1970 by the
+	// StartedMs is when the target's process started, in milliseconds since 1970 by the
 	// target's clock. Zero means unknown.
-	Born int64
+	StartedMs int64
 	// Sequence is the number in the target's row. It may count heartbeats, so the
 	// state of orders is taken from the engine's own report instead.
 	Sequence uint64
-	Held     []Held
+	Resident []ResidentModel
 	// InMemory and OnDisk are the models whose weights are cached in memory and on
 	// disk.
 	InMemory, OnDisk []string
@@ -34,8 +34,8 @@
 	Version uint64
 }
 
-// Held is a model that is resident on a target.
-type Held struct {
+// ResidentModel is a model that is resident on a target.
+type ResidentModel struct {
 	Model    string
 	Version  int
 	Adapters []string
@@ -77,9 +77,9 @@
 	minOutage = 500 * time.Millisecond
 )
 
-// Book is the record of the known targets. The zero value is empty. It is not safe
+// Registry is the record of the known targets. The zero value is empty. It is not safe
 // for concurrent use.
-type Book struct {
+type Registry struct {
 	targets map[instance.ID]Target
 	// missing maps targets whose rows vanished around an outage to the time until
 	// which they are retained.
@@ -91,8 +91,8 @@
 	recoveredAt time.Time
 }
 
-// Heard records that the store answered at now.
-func (b *Book) Heard(now time.Time) {
+// StoreAnswered records that the store answered at now.
+func (b *Registry) StoreAnswered(now time.Time) {
 	if !b.failedSince.IsZero() && now.Sub(b.failedSince) > minOutage {
 		b.recoveredAt = now
 	}
@@ -100,15 +100,15 @@
 	b.failedSince = time.Time{}
 }
 
-// Failed records that the store did not answer at now.
-func (b *Book) Failed(now time.Time) {
+// StoreFailed records that the store did not answer at now.
+func (b *Registry) StoreFailed(now time.Time) {
 	if b.failedSince.IsZero() {
 		b.failedSince = now
 	}
 }
 
 // Apply applies changed rows.
-func (b *Book) Apply(changes []Change, now time.Time) {
+func (b *Registry) Apply(changes []Change, now time.Time) {
 	if b.targets == nil {
 		b.targets = make(map[instance.ID]Target)
 		b.missing = make(map[instance.ID]time.Time)
@@ -128,7 +128,7 @@
 }
 
 // Replace applies the whole list.
-func (b *Book) Replace(all []Change, now time.Time) {
+func (b *Registry) Replace(all []Change, now time.Time) {
 	listed := make(map[instance.ID]bool, len(all))
 	for _, c := range all {
 		listed[c.ID] = true
@@ -149,7 +149,7 @@
 // After an outage all targets appear to be gone: their rows expired while no
 // instance could write. Dropping them would refuse every request until they had
 // written their rows again.
-func (b *Book) remove(id instance.ID, now time.Time) {
+func (b *Registry) remove(id instance.ID, now time.Time) {
 	t, ok := b.targets[id]
 	if !ok {
 		return
@@ -168,7 +168,7 @@
 
 // Expire drops the missing targets whose rows did not return in time. It reports
 // whether there were any.
-func (b *Book) Expire(now time.Time) bool {
+func (b *Registry) Expire(now time.Time) bool {
 	dropped := false
 
 	for id, until := range b.missing {
@@ -186,14 +186,14 @@
 }
 
 // Missing reports whether a target is retained although its row has vanished.
-func (b *Book) Missing(id instance.ID) bool {
+func (b *Registry) Missing(id instance.ID) bool {
 	_, ok := b.missing[id]
 
 	return ok
 }
 
 // Targets returns a copy of the known targets.
-func (b *Book) Targets() map[instance.ID]Target {
+func (b *Registry) Targets() map[instance.ID]Target {
 	out := make(map[instance.ID]Target, len(b.targets))
 	for id, t := range b.targets {
 		out[id] = t
--- a/internal/fleet/inventory/inventory_test.go
+++ b/internal/fleet/inventory/inventory_test.go
@@ -48,7 +48,7 @@
 
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var b Book
+			var b Registry
 
 			first := listed("a", "b")
 			first[0].Target.Leaving = c.leaving
@@ -56,11 +56,11 @@
 
 			for ms := 0; ms <= 10000; ms += 100 {
 				if slices.Contains(c.failed, ms) {
-					b.Failed(at(ms))
+					b.StoreFailed(at(ms))
 				}
 
 				if slices.Contains(c.answered, ms) {
-					b.Heard(at(ms))
+					b.StoreAnswered(at(ms))
 				}
 			}
 
@@ -84,12 +84,12 @@
 // TestReturn checks that a target whose row was missing after an outage stays known
 // once the row returns in time.
 func TestReturn(t *testing.T) {
-	var b Book
+	var b Registry
 
 	b.Apply(listed("a"), at(0))
-	b.Heard(at(0))
-	b.Failed(at(2000))
-	b.Heard(at(5000))
+	b.StoreAnswered(at(0))
+	b.StoreFailed(at(2000))
+	b.StoreAnswered(at(5000))
 	b.Apply([]Change{{ID: "a", Removed: true}}, at(5000))
 	b.Apply(listed("a"), at(6000))
 	b.Expire(at(9000))
@@ -99,7 +99,7 @@
 // TestBadRow checks that a target whose row was overwritten with an invalid one is
 // dropped, and that the other targets stay known.
 func TestBadRow(t *testing.T) {
-	var b Book
+	var b Registry
 
 	b.Apply(listed("a", "b"), at(0))
 	b.Apply([]Change{{ID: "a", Err: &RowError{ID: "a", Reason: "no service"}}}, at(1))
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -115,7 +115,7 @@
 	changed, asked, idled chan struct{}
 
 	mu   sync.Mutex
-	book inventory.Book
+	book inventory.Registry
 	// list is the store's version at which the list of targets was last read,
 	// here or by the peer that told of it.
 	list uint64
--- a/internal/fleet/node/pace.go
+++ b/internal/fleet/node/pace.go
@@ -89,9 +89,9 @@
 	}
 
 	if age >= holderKnows {
-		n.book.Failed(now)
+		n.book.StoreFailed(now)
 	} else {
-		n.book.Heard(now)
+		n.book.StoreAnswered(now)
 	}
 }
 
--- a/internal/fleet/node/routing.go
+++ b/internal/fleet/node/routing.go
@@ -239,7 +239,7 @@
 func (b *builder) add(t inventory.Target, service route.Service, s *holder.EngineState) {
 	info := router.TargetInfo{
 		ID: t.ID, DataCentre: t.DataCentre, Address: t.Address, Speed: 1, Slots: t.Slots,
-		Leaving: t.Leaving, Incarnation: strconv.FormatInt(t.Born, 10), ReportAge: reportAge,
+		Leaving: t.Leaving, Incarnation: strconv.FormatInt(t.StartedMs, 10), ReportAge: reportAge,
 	}
 
 	e := service.Engine
@@ -253,7 +253,7 @@
 
 	info.Slots = e.Concurrency(info.Slots)
 
-	if s != nil && s.Born != t.Born {
+	if s != nil && s.Born != t.StartedMs {
 		s = nil
 	}
 
@@ -288,9 +288,9 @@
 		return s.Resident
 	}
 
-	out := make([]holder.ResidentModel, len(t.Held))
+	out := make([]holder.ResidentModel, len(t.Resident))
 
-	for i, h := range t.Held {
+	for i, h := range t.Resident {
 		out[i].Model = h.Model
 		for _, name := range h.Adapters {
 			out[i].Adapters = append(out[i].Adapters, holder.ResidentAdapter{Name: name})
--- a/internal/fleet/node/routing_test.go
+++ b/internal/fleet/node/routing_test.go
@@ -30,7 +30,7 @@
 
 	for i := range engines {
 		id := instance.ID(fmt.Sprintf("t%03d", i))
-		n.known[id] = inventory.Target{ID: id, Service: "s", Slots: 12, Born: 1, Address: netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(1+i))}
+		n.known[id] = inventory.Target{ID: id, Service: "s", Slots: 12, StartedMs: 1, Address: netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(1+i))}
 		n.news.Engines = append(n.news.Engines, station(id, i))
 	}
 
@@ -91,7 +91,7 @@
 			case 3:
 				delete(n.known, id)
 			case 4:
-				n.known[id] = inventory.Target{ID: id, Service: "s", Slots: 12, Born: 2, Address: netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(100+i))}
+				n.known[id] = inventory.Target{ID: id, Service: "s", Slots: 12, StartedMs: 2, Address: netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(100+i))}
 			case 5:
 				n.heard = now
 			}
--- a/internal/fleet/node/view_test.go
+++ b/internal/fleet/node/view_test.go
@@ -129,7 +129,7 @@
 	first.takeTargets(both, true, 1)
 	second.takeTargets(both, true, 1)
 
-	first.book.Failed(time.Now().Add(-2 * time.Second))
+	first.book.StoreFailed(time.Now().Add(-2 * time.Second))
 	first.takeTargets([]inventory.Change{{ID: "t2", Removed: true}}, false, 2)
 	assert.Equal(t, len(first.knownTargets()), 2, "the target is not kept")
 
--- a/internal/fleet/node/watch.go
+++ b/internal/fleet/node/watch.go
@@ -206,7 +206,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	n.book.Failed(time.Now())
+	n.book.StoreFailed(time.Now())
 }
 
 func (n *Node) nextTargets(ctx context.Context, after uint64) ([]inventory.Change, uint64, error) {
@@ -236,7 +236,7 @@
 	now := time.Now()
 
 	n.mu.Lock()
-	n.book.Heard(now)
+	n.book.StoreAnswered(now)
 
 	if version < n.list {
 		n.mu.Unlock()
@@ -274,7 +274,7 @@
 
 	for _, c := range changes {
 		old, known := n.known[c.ID]
-		if c.Removed || c.Err != nil || !known || old.Leaving != c.Target.Leaving || old.Born != c.Target.Born || old.Address != c.Target.Address {
+		if c.Removed || c.Err != nil || !known || old.Leaving != c.Target.Leaving || old.StartedMs != c.Target.StartedMs || old.Address != c.Target.Address {
 			return true
 		}
 	}
--- a/internal/placement/holder/confirm.go
+++ b/internal/placement/holder/confirm.go
@@ -63,7 +63,7 @@
 	// A report with a lower sequence predates the order of the load.
 	current := err == nil && r.Sequence >= eng.sequence
 
-	switch ended := slices.ContainsFunc(r.Held, func(held inventory.Held) bool { return held.Model == eng.storeLoad }); {
+	switch ended := slices.ContainsFunc(r.Held, func(held inventory.ResidentModel) bool { return held.Model == eng.storeLoad }); {
 	case current && ended:
 		if resident := eng.models[eng.storeLoad]; resident != nil {
 			resident.ready = now
--- a/internal/placement/holder/feed.go
+++ b/internal/placement/holder/feed.go
@@ -110,7 +110,7 @@
 		return
 	}
 
-	for _, held := range t.Held {
+	for _, held := range t.Resident {
 		if held.Model == l.model {
 			c.adjust(l, now.Add(-listDelay), slowFactor)
 			c.remove(t.ID, now)
--- a/internal/placement/holder/station.go
+++ b/internal/placement/holder/station.go
@@ -98,7 +98,7 @@
 		}
 
 		eng := h.engines[id]
-		if eng == nil || eng.target.Born != t.Born && eng.born != t.Born || eng.target.Address != t.Address {
+		if eng == nil || eng.target.StartedMs != t.StartedMs && eng.born != t.StartedMs || eng.target.Address != t.Address {
 			eng = &trackedEngine{origin: t, target: t, models: make(map[string]*trackedModel)}
 			eng.updateCopies(t, now)
 			h.engines[id] = eng
@@ -219,8 +219,8 @@
 		return
 	}
 
-	listed := make([]string, 0, len(t.Held))
-	for _, held := range t.Held {
+	listed := make([]string, 0, len(t.Resident))
+	for _, held := range t.Resident {
 		listed = append(listed, held.Model)
 	}
 
@@ -277,7 +277,7 @@
 func (eng *trackedEngine) resetIfRestarted(r Report) bool {
 	known := eng.born
 	if known == 0 {
-		known = eng.target.Born
+		known = eng.target.StartedMs
 	}
 
 	if r.Born == 0 || known == 0 || r.Born == known {
@@ -317,7 +317,7 @@
 
 	for _, state := range h.snapshot.Engines {
 		eng := h.engines[state.Target]
-		if eng == nil || eng.target.Born != state.Born {
+		if eng == nil || eng.target.StartedMs != state.Born {
 			continue
 		}
 
@@ -424,7 +424,7 @@
 	waiting := h.demand.WaitingEntries(time.Now(), ModelOf)
 
 	for id, eng := range h.engines {
-		state := EngineState{Target: id, Born: eng.target.Born, Sequence: eng.sequence, Running: running[id]}
+		state := EngineState{Target: id, Born: eng.target.StartedMs, Sequence: eng.sequence, Running: running[id]}
 
 		if eng.down {
 			// Without an empty state entries would use the target list, which
--- a/internal/placement/holder/storecapacity_test.go
+++ b/internal/placement/holder/storecapacity_test.go
@@ -37,7 +37,7 @@
 			delete(remaining, id)
 
 			name := instance.ID(fmt.Sprint(id))
-			c.observe(inventory.Target{ID: name, Held: []inventory.Held{{Model: "m"}}}, now)
+			c.observe(inventory.Target{ID: name, Resident: []inventory.ResidentModel{{Model: "m"}}}, now)
 		}
 
 		for id := 0; len(remaining) < int(c.fullSpeed()); id++ {
--- a/internal/placement/holder/world_test.go
+++ b/internal/placement/holder/world_test.go
@@ -201,7 +201,7 @@
 
 	for id, one := range cl.workers {
 		old := cl.rows[id]
-		row := one.Describe(inventory.Target{ID: id, Service: "s", Slots: 8, Born: cl.born, Leaving: cl.leaving[id], Version: old.Version})
+		row := one.Describe(inventory.Target{ID: id, Service: "s", Slots: 8, StartedMs: cl.born, Leaving: cl.leaving[id], Version: old.Version})
 
 		if !reflect.DeepEqual(row, old) {
 			row.Version++
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -241,7 +241,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.targets[id] = inventory.Target{ID: id, Service: service, Address: at, DataCentre: "dc", Slots: slots, Born: 1}
+	s.targets[id] = inventory.Target{ID: id, Service: service, Address: at, DataCentre: "dc", Slots: slots, StartedMs: 1}
 	s.handler[id] = w
 
 	return nil
@@ -284,7 +284,7 @@
 
 // Restart makes a target report as a new process that takes work.
 func (s *Site) Restart(id instance.ID) {
-	s.change(id, func(t *inventory.Target) { t.Leaving, t.Born = false, t.Born+1 })
+	s.change(id, func(t *inventory.Target) { t.Leaving, t.StartedMs = false, t.StartedMs+1 })
 }
 
 func (s *Site) change(id instance.ID, f func(*inventory.Target)) {
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -246,15 +246,15 @@
 	return holder.Report{Busy: w.busy, Sequence: w.sequence, Held: w.list()}
 }
 
-func (w *Worker) list() []inventory.Held {
-	var out []inventory.Held
+func (w *Worker) list() []inventory.ResidentModel {
+	var out []inventory.ResidentModel
 
 	for name, m := range w.held {
 		if !m.ready {
 			continue
 		}
 
-		h := inventory.Held{Model: name, Version: 1}
+		h := inventory.ResidentModel{Model: name, Version: 1}
 		for a := range m.adapters {
 			h.Adapters = append(h.Adapters, a)
 		}
@@ -263,7 +263,7 @@
 		out = append(out, h)
 	}
 
-	slices.SortFunc(out, func(a, b inventory.Held) int {
+	slices.SortFunc(out, func(a, b inventory.ResidentModel) int {
 		if a.Model < b.Model {
 			return -1
 		}
@@ -281,7 +281,7 @@
 
 	w.start()
 
-	t.Held, t.Sequence = w.list(), w.sequence
+	t.Resident, t.Sequence = w.list(), w.sequence
 
 	for name := range w.disk {
 		t.OnDisk = append(t.OnDisk, name)
--- a/internal/wire/news/news_test.go
+++ b/internal/wire/news/news_test.go
@@ -57,7 +57,7 @@
 
 func (e *echo) View(have Versions) View {
 	return View{Config: []byte("c"), List: have.List + 1, Base: have.List, Listed: []uint64{}, Gone: []instance.ID{"gone"}, Targets: []inventory.Target{{
-		ID: "t", Address: netip.MustParseAddrPort("127.0.0.1:1"), Slots: 3, Held: []inventory.Held{{Model: "m", Adapters: []string{"a"}}},
+		ID: "t", Address: netip.MustParseAddrPort("127.0.0.1:1"), Slots: 3, Resident: []inventory.ResidentModel{{Model: "m", Adapters: []string{"a"}}},
 	}}}
 }
 
@@ -145,7 +145,7 @@
 	assert.DeepEqual(t, v.Gone, []instance.ID{"gone"})
 	assert.Assert(t, v.Listed != nil && len(v.Listed) == 0)
 	assert.Equal(t, v.Targets[0].Slots, 3)
-	assert.Equal(t, v.Targets[0].Held[0].Adapters[0], "a")
+	assert.Equal(t, v.Targets[0].Resident[0].Adapters[0], "a")
 
 	assert.NilError(t, c.Block(t.Context(), 9))
 	assert.Equal(t, got.blocked, request.Fingerprint(9))
--- a/internal/wire/news/view.go
+++ b/internal/wire/news/view.go
@@ -77,9 +77,9 @@
 	for _, t := range v.Targets {
 		m := TargetMessage{
 			ID: string(t.ID), Service: t.Service, Address: t.Address.String(), DataCentre: string(t.DataCentre), Slots: t.Slots,
-			Leaving: t.Leaving, Born: t.Born, Sequence: t.Sequence, Version: t.Version, InMemory: t.InMemory, OnDisk: t.OnDisk,
+			Leaving: t.Leaving, Born: t.StartedMs, Sequence: t.Sequence, Version: t.Version, InMemory: t.InMemory, OnDisk: t.OnDisk,
 		}
-		for _, h := range t.Held {
+		for _, h := range t.Resident {
 			m.Held = append(m.Held, HeldOnList{Model: h.Model, Version: h.Version, Adapters: h.Adapters})
 		}
 
@@ -103,10 +103,10 @@
 
 		in := inventory.Target{
 			ID: instance.ID(t.ID), Service: t.Service, Address: address, DataCentre: instance.DataCentre(t.DataCentre), Slots: t.Slots,
-			Leaving: t.Leaving, Born: t.Born, Sequence: t.Sequence, Version: t.Version, InMemory: t.InMemory, OnDisk: t.OnDisk,
+			Leaving: t.Leaving, StartedMs: t.Born, Sequence: t.Sequence, Version: t.Version, InMemory: t.InMemory, OnDisk: t.OnDisk,
 		}
 		for _, h := range t.Held {
-			in.Held = append(in.Held, inventory.Held{Model: h.Model, Version: h.Version, Adapters: h.Adapters})
+			in.Resident = append(in.Resident, inventory.ResidentModel{Model: h.Model, Version: h.Version, Adapters: h.Adapters})
 		}
 
 		out.Targets = append(out.Targets, in)
