--- a/internal/fleet/target/engine.go
+++ b/internal/fleet/target/engine.go
@@ -113,8 +113,8 @@
 	Failed    Phase = "failed"
 )
 
-// Held is a checkpoint that occupies memory on an engine.
-type Held struct {
+// ResidentModel is a checkpoint that occupies memory on an engine.
+type ResidentModel struct {
 	Model string
 	Base  string
 	Bytes int64
@@ -131,10 +131,10 @@
 	Token  uint64
 	Memory int64
 	// Speed is the engine's relative speed; 1 is the slowest kind.
-	Speed   float64
-	Role    string
-	Leaving bool
-	Held    []Held
+	Speed    float64
+	Role     string
+	Leaving  bool
+	Resident []ResidentModel
 	// Cached maps the checkpoints that load from local memory or disk to their tier.
 	Cached map[string]Tier
 }
--- a/internal/placement/cell/engines.go
+++ b/internal/placement/cell/engines.go
@@ -255,7 +255,7 @@
 		t.reconcileRow(r, inv, now)
 	}
 
-	for _, h := range inv.Held {
+	for _, h := range inv.Resident {
 		if t.ledger.Row(ledger.Key{Target: id, Model: h.Model}) == nil {
 			t.adoptUncounted(id, h, now)
 		}
@@ -264,11 +264,11 @@
 
 // reconcileRow updates a row's state from the engine's inventory.
 func (t *leaseTerm) reconcileRow(r *ledger.Row, inv target.Inventory, now time.Time) {
-	at := slices.IndexFunc(inv.Held, func(h target.Held) bool { return h.Model == r.Model })
+	at := slices.IndexFunc(inv.Resident, func(h target.ResidentModel) bool { return h.Model == r.Model })
 
 	switch {
 	case at >= 0:
-		t.applyPhase(r, inv.Held[at].Phase, now)
+		t.applyPhase(r, inv.Resident[at].Phase, now)
 	case r.State.Acknowledged && r.State.Phase != target.Unloading:
 		// The replica has disappeared: the engine was restarted, or the
 		// replica was unloaded without an order of this holder. The row is
@@ -323,7 +323,7 @@
 // adoptUncounted adds a row for a replica that is resident on the engine but not
 // in the ledger. It counts at once, is written to the store, and the replica is
 // then unloaded.
-func (t *leaseTerm) adoptUncounted(id instance.ID, h target.Held, now time.Time) {
+func (t *leaseTerm) adoptUncounted(id instance.ID, h target.ResidentModel, now time.Time) {
 	row := t.ledger.Adopt(ledger.Row{
 		Key:     ledger.Key{Target: id, Model: h.Model},
 		Base:    h.Base,
--- a/internal/placement/cell/failure_test.go
+++ b/internal/placement/cell/failure_test.go
@@ -263,7 +263,7 @@
 			continue
 		}
 
-		for _, h := range inv.Held {
+		for _, h := range inv.Resident {
 			if h.Model == model {
 				return e
 			}
--- a/internal/placement/cell/world_test.go
+++ b/internal/placement/cell/world_test.go
@@ -116,7 +116,7 @@
 
 // check runs whenever an engine's resident models change: their bytes must fit
 // its memory, and each replica must be counted by the ledger.
-func (w *world) check(id instance.ID, held []target.Held, memory int64) {
+func (w *world) check(id instance.ID, held []target.ResidentModel, memory int64) {
 	var sum int64
 
 	for _, h := range held {
--- a/internal/placement/ledger/ledger_test.go
+++ b/internal/placement/ledger/ledger_test.go
@@ -112,7 +112,7 @@
 func TestRemovable(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	empty := &target.Inventory{Incarnation: "i2", Token: 5}
-	holding := &target.Inventory{Incarnation: "i2", Token: 5, Held: []target.Held{{Model: "m"}}}
+	holding := &target.Inventory{Incarnation: "i2", Token: 5, Resident: []target.ResidentModel{{Model: "m"}}}
 	long := OrderLifetime + time.Second
 
 	for name, tc := range map[string]struct {
--- a/internal/placement/ledger/prove.go
+++ b/internal/placement/ledger/prove.go
@@ -79,7 +79,7 @@
 }
 
 func (r *Row) residentIn(inv *target.Inventory) bool {
-	return slices.ContainsFunc(inv.Held, func(h target.Held) bool { return h.Model == r.Model })
+	return slices.ContainsFunc(inv.Resident, func(h target.ResidentModel) bool { return h.Model == r.Model })
 }
 
 // Unloadable reports whether the replica is to be unloaded, runs no request and
--- a/internal/standin/engine/contract_test.go
+++ b/internal/standin/engine/contract_test.go
@@ -54,7 +54,7 @@
 		inv, err := e.Inventory(t.Context())
 		assert.NilError(t, err)
 
-		for _, h := range inv.Held {
+		for _, h := range inv.Resident {
 			if h.Model == "m" && h.Phase == target.Ready {
 				return
 			}
@@ -156,7 +156,7 @@
 				inv, err := e.Submit(t.Context(), target.Order{ID: "1", Token: 6, Action: target.Load{Model: "m"}})
 				assert.NilError(t, err)
 
-				for _, h := range inv.Held {
+				for _, h := range inv.Resident {
 					assert.Assert(t, h.Model != "m")
 				}
 
@@ -171,7 +171,7 @@
 				inv, err = e.Inventory(t.Context())
 				assert.NilError(t, err)
 				assert.Assert(t, inv.Incarnation != before)
-				assert.Equal(t, len(inv.Held), 0)
+				assert.Equal(t, len(inv.Resident), 0)
 			})
 		})
 	}
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -56,7 +56,7 @@
 	leaving     bool
 	token       uint64
 	role        string
-	held        map[string]target.Held
+	held        map[string]target.ResidentModel
 	cached      map[string]target.Tier
 	orders      map[string]bool
 	running     map[string]*generation
@@ -73,7 +73,7 @@
 
 	// OnChange, when set, is called under the engine's lock after each change
 	// of what it holds. Checkers hang on to it.
-	OnChange func(id instance.ID, held []target.Held, memory int64)
+	OnChange func(id instance.ID, held []target.ResidentModel, memory int64)
 }
 
 type generation struct {
@@ -107,7 +107,7 @@
 	e.incarnation = uuid.NewString()
 	e.down = false
 	e.token = 0
-	e.held = make(map[string]target.Held)
+	e.held = make(map[string]target.ResidentModel)
 	e.orders = make(map[string]bool)
 	e.running = make(map[string]*generation)
 	e.waiting = nil
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -54,7 +54,7 @@
 		g.cancel()
 	}
 
-	e.held = make(map[string]target.Held)
+	e.held = make(map[string]target.ResidentModel)
 	e.changed()
 
 	time.AfterFunc(e.opt.Restart, func() {
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -81,7 +81,7 @@
 		return
 	}
 
-	e.held[a.Model] = target.Held{Model: a.Model, Base: a.Base, Bytes: a.Bytes, Phase: target.Loading}
+	e.held[a.Model] = target.ResidentModel{Model: a.Model, Base: a.Base, Bytes: a.Bytes, Phase: target.Loading}
 	e.changed()
 
 	tier := e.cached[a.Model]
@@ -125,8 +125,8 @@
 	}
 }
 
-func (e *Engine) heldLocked() []target.Held {
-	var out []target.Held
+func (e *Engine) heldLocked() []target.ResidentModel {
+	var out []target.ResidentModel
 	for _, name := range slices.Sorted(maps.Keys(e.held)) {
 		out = append(out, e.held[name])
 	}
@@ -154,7 +154,7 @@
 		Speed:       e.opt.Speed,
 		Role:        e.role,
 		Leaving:     e.leaving,
-		Held:        e.heldLocked(),
+		Resident:    e.heldLocked(),
 		Cached:      maps.Clone(e.cached),
 	}
 }
--- a/internal/standin/trial/books.go
+++ b/internal/standin/trial/books.go
@@ -73,8 +73,8 @@
 // check returns what an engine calls after each change of what it holds: the
 // bytes must fit its memory, and each replica must have been decided, which
 // means that the ledger has a row for it.
-func (b *books) check(p *platform.Platform, cells int) func(instance.ID, []target.Held, int64) {
-	return func(id instance.ID, held []target.Held, memory int64) {
+func (b *books) check(p *platform.Platform, cells int) func(instance.ID, []target.ResidentModel, int64) {
+	return func(id instance.ID, held []target.ResidentModel, memory int64) {
 		var sum int64
 
 		for _, h := range held {
--- a/internal/standin/trial/faults.go
+++ b/internal/standin/trial/faults.go
@@ -68,7 +68,7 @@
 				continue
 			}
 
-			for _, h := range inv.Held {
+			for _, h := range inv.Resident {
 				if h.Phase == "loading" {
 					return
 				}
--- a/internal/wire/engine/engine.go
+++ b/internal/wire/engine/engine.go
@@ -170,7 +170,7 @@
 		Cached:      make(map[string]int, len(inv.Cached)),
 	}
 
-	for _, h := range inv.Held {
+	for _, h := range inv.Resident {
 		out.Held = append(out.Held, Held{Model: h.Model, Base: h.Base, Bytes: h.Bytes, Phase: string(h.Phase)})
 	}
 
@@ -194,8 +194,8 @@
 	}
 
 	for _, h := range inv.Held {
-		held := target.Held{Model: h.Model, Base: h.Base, Bytes: h.Bytes, Phase: target.Phase(h.Phase)}
-		out.Held = append(out.Held, held)
+		held := target.ResidentModel{Model: h.Model, Base: h.Base, Bytes: h.Bytes, Phase: target.Phase(h.Phase)}
+		out.Resident = append(out.Resident, held)
 	}
 
 	for name, tier := range inv.Cached {
