--- a/internal/fleet/clock/boot.go
+++ b/internal/fleet/clock/boot.go
@@ -16,10 +16,10 @@
 // It guards against a holder that was suspended past the end of its lease: the
 // monotonic clock does not count that time, so the lease would still appear valid.
 // The time of day is not used, because it jumps.
-func Now() time.Time { return time.Now().Add(Slept()) }
+func Now() time.Time { return time.Now().Add(Suspended()) }
 
-// Slept returns how long the machine was suspended since the process started.
-func Slept() time.Duration {
+// Suspended returns how long the machine was suspended since the process started.
+func Suspended() time.Duration {
 	before := suspendedAtStart()
 
 	return max(0, suspendedSinceBoot()-before)
