--- a/internal/fleet/entry/entry.go
+++ b/internal/fleet/entry/entry.go
@@ -124,8 +124,8 @@
 	e.log.Instance, e.log.Process = cfg.ID, e.process
 	e.platform = &platform.Client{Address: cfg.Platform, HTTP: e.httpClient(platformConns)}
 	e.store = list.Store{Table: e.platform}
-	e.fleet = &peer.Set{Self: cfg.ID, Terms: peer.DefaultTerms()}
-	e.fleet.Terms.ListLag = cfg.ListLag
+	e.fleet = &peer.Set{Self: cfg.ID, Timing: peer.DefaultTiming()}
+	e.fleet.Timing.ListLag = cfg.ListLag
 
 	if err := e.listen(); err != nil {
 		e.closeListeners()
--- a/internal/fleet/entry/members.go
+++ b/internal/fleet/entry/members.go
@@ -77,7 +77,7 @@
 
 		all, err := e.platform.Instances(ctx)
 		if err == nil {
-			e.fleet.List(all, time.Now())
+			e.fleet.UpdateList(all, time.Now())
 
 			if first {
 				// Now that the peers are known, they hear of this entry at once.
@@ -107,7 +107,7 @@
 
 // beat exchanges heartbeats with all peers.
 func (e *Entry) beat(ctx context.Context) {
-	every(ctx, e.fleet.Terms.Heartbeat, func() { e.beatOnce(ctx) })
+	every(ctx, e.fleet.Timing.Heartbeat, func() { e.beatOnce(ctx) })
 }
 
 func (e *Entry) beatOnce(ctx context.Context) {
@@ -145,16 +145,16 @@
 // status says what this entry knows of itself.
 func (e *Entry) status() peer.Status {
 	s := peer.Status{
-		ID:          e.cfg.ID,
-		DataCentre:  e.cfg.DataCentre,
-		Process:     e.process,
-		Started:     e.started,
-		Draining:    e.draining.Load(),
-		Ready:       e.Ready(),
-		ListVersion: e.lists.Current().Version(),
-		Poisoned:    e.dispatch.BlockedFingerprints(),
-		Plans:       e.gateway.Counts(),
-		Clock:       e.log.Clock.Now(),
+		ID:                  e.cfg.ID,
+		DataCentre:          e.cfg.DataCentre,
+		Process:             e.process,
+		Started:             e.started,
+		Draining:            e.draining.Load(),
+		Ready:               e.Ready(),
+		ListVersion:         e.lists.Current().Version(),
+		BlockedFingerprints: e.dispatch.BlockedFingerprints(),
+		Plans:               e.gateway.Counts(),
+		Clock:               e.log.Clock.Now(),
 	}
 
 	for _, c := range e.cells {
@@ -163,7 +163,7 @@
 		}
 
 		if c.OrdersInFlight() {
-			s.OrdersInHand = append(s.OrdersInHand, c.Number())
+			s.OrdersInFlight = append(s.OrdersInFlight, c.Number())
 		}
 	}
 
@@ -183,13 +183,13 @@
 	now := time.Now()
 
 	e.log.Clock.Observe(s.Clock)
-	e.fleet.Hear(s, now)
+	e.fleet.Receive(s, now)
 
 	if len(e.fleet.Entries()) != before {
 		e.home.membershipChanged(now)
 	}
 
-	e.take(wire.Notice{Leaving: s.Leaving, Poisoned: s.Poisoned})
+	e.take(wire.Notice{Leaving: s.Leaving, Poisoned: s.BlockedFingerprints})
 
 	mine := e.lists.Current().Version()
 
@@ -339,7 +339,7 @@
 		return true
 	}
 
-	s, at, ok := e.fleet.Heard(p.Entry)
+	s, at, ok := e.fleet.LastStatus(p.Entry)
 
-	return ok && s.Process != p.Process && now.Sub(at) <= e.fleet.Terms.Silence
+	return ok && s.Process != p.Process && now.Sub(at) <= e.fleet.Timing.DeadAfter
 }
--- a/internal/fleet/membership/roll.go
+++ b/internal/fleet/membership/roll.go
@@ -1,4 +1,4 @@
-// Package roll maintains the membership: the entries that are alive, as each
+// Package membership maintains the membership: the entries that are alive, as each
 // entry sees them. Entries exchange their lists by gossip in rounds. Each process
 // increments its heartbeat once a round, and a heartbeat that one entry has
 // received reaches all others within a few rounds, so the work of an entry does
--- a/internal/fleet/peer/set.go
+++ b/internal/fleet/peer/set.go
@@ -10,26 +10,26 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// Terms holds the durations that the membership depends on.
-type Terms struct {
+// Timing holds the durations that the membership depends on.
+type Timing struct {
 	// Heartbeat is the time between two heartbeats to a peer.
 	Heartbeat time.Duration
-	// Silence is how long after its last heartbeat a peer counts as dead.
-	Silence time.Duration
+	// DeadAfter is how long after its last heartbeat a peer counts as dead.
+	DeadAfter time.Duration
 	// ListLag bounds how far the platform's list lags behind.
 	ListLag time.Duration
 }
 
-// DefaultTerms returns durations for a list that lags by a few seconds.
-func DefaultTerms() Terms {
-	return Terms{Heartbeat: 500 * time.Millisecond, Silence: 2 * time.Second, ListLag: 10 * time.Second}
+// DefaultTiming returns durations for a list that lags by a few seconds.
+func DefaultTiming() Timing {
+	return Timing{Heartbeat: 500 * time.Millisecond, DeadAfter: 2 * time.Second, ListLag: 10 * time.Second}
 }
 
 // Set is this entry's record of all instances. Reads take no lock. The zero value
 // is empty; the exported fields must be set before use.
 type Set struct {
-	Self  instance.ID
-	Terms Terms
+	Self   instance.ID
+	Timing Timing
 
 	mu      sync.Mutex
 	current atomic.Pointer[members]
@@ -63,8 +63,8 @@
 	return &members{}
 }
 
-// List replaces the platform's list by the one read at now.
-func (s *Set) List(all []instance.Instance, now time.Time) {
+// UpdateList replaces the platform's list by the one read at now.
+func (s *Set) UpdateList(all []instance.Instance, now time.Time) {
 	s.update(now, func(m *members) {
 		listed := make(map[instance.ID]instance.Instance, len(all))
 		for _, in := range all {
@@ -89,8 +89,8 @@
 	})
 }
 
-// Hear records a peer's status, received at now.
-func (s *Set) Hear(st Status, now time.Time) {
+// Receive records a peer's status, received at now.
+func (s *Set) Receive(st Status, now time.Time) {
 	s.update(now, func(m *members) { m.statuses[st.ID] = received{Status: st, at: now} })
 }
 
@@ -110,7 +110,7 @@
 		statuses:     cloneMap(old.statuses),
 	}
 	change(next)
-	next.entries = next.live(s.Self, s.Terms, now)
+	next.entries = next.live(s.Self, s.Timing, now)
 	s.current.Store(next)
 }
 
@@ -123,11 +123,11 @@
 }
 
 // live returns the entries with a recent status that are not draining.
-func (m *members) live(self instance.ID, t Terms, now time.Time) []instance.ID {
+func (m *members) live(self instance.ID, t Timing, now time.Time) []instance.ID {
 	ids := []instance.ID{self}
 
 	for id, h := range m.statuses {
-		if id != self && !h.Draining && now.Sub(h.at) <= t.Silence {
+		if id != self && !h.Draining && now.Sub(h.at) <= t.DeadAfter {
 			ids = append(ids, id)
 		}
 	}
@@ -198,7 +198,7 @@
 		since = m.firstListed
 	}
 
-	return now.Sub(since) > s.Terms.ListLag
+	return now.Sub(since) > s.Timing.ListLag
 }
 
 // Statuses returns the last status of every peer that does not count as dead,
@@ -209,7 +209,7 @@
 	var out []Status
 
 	for _, id := range slices.Sorted(maps.Keys(m.statuses)) {
-		if h := m.statuses[id]; now.Sub(h.at) <= s.Terms.Silence {
+		if h := m.statuses[id]; now.Sub(h.at) <= s.Timing.DeadAfter {
 			out = append(out, h.Status)
 		}
 	}
@@ -217,11 +217,11 @@
 	return out
 }
 
-// Settled reports whether it is proved that the process that ran on the instance
+// FinishedWith reports whether it is proved that the process that ran on the instance
 // neither holds the cell's lease nor has an order in flight for the cell. The
 // proof is a status of the process itself, received after since; a status of a
 // later process on the same instance; or the instance's absence from the list.
-func (s *Set) Settled(id instance.ID, process string, cell int, since, now time.Time) bool {
+func (s *Set) FinishedWith(id instance.ID, process string, cell int, since, now time.Time) bool {
 	if s.Gone(id, now) {
 		return true
 	}
@@ -231,11 +231,11 @@
 		return false
 	}
 
-	return h.Process != process || h.Settled(cell)
+	return h.Process != process || h.FinishedWith(cell)
 }
 
-// Heard returns the last status of a peer and when it was received.
-func (s *Set) Heard(id instance.ID) (Status, time.Time, bool) {
+// LastStatus returns the last status of a peer and when it was received.
+func (s *Set) LastStatus(id instance.ID) (Status, time.Time, bool) {
 	h, ok := s.members().statuses[id]
 
 	return h.Status, h.at, ok
--- a/internal/fleet/peer/set_test.go
+++ b/internal/fleet/peer/set_test.go
@@ -13,21 +13,21 @@
 
 func after(seconds int) time.Time { return now.Add(time.Duration(seconds) * time.Second) }
 
-func newSet() *Set { return &Set{Self: "a", Terms: DefaultTerms()} }
+func newSet() *Set { return &Set{Self: "a", Timing: DefaultTiming()} }
 
 func TestEntries(t *testing.T) {
 	s := newSet()
 	assert.DeepEqual(t, s.Entries(), []instance.ID{"a"})
 
-	s.Hear(Status{ID: "c"}, now)
-	s.Hear(Status{ID: "b"}, after(1))
+	s.Receive(Status{ID: "c"}, now)
+	s.Receive(Status{ID: "b"}, after(1))
 	assert.DeepEqual(t, s.Entries(), []instance.ID{"a", "b", "c"})
 
 	s.Refresh(after(3))
 	assert.DeepEqual(t, s.Entries(), []instance.ID{"a", "b"})
 	assert.Equal(t, len(s.Statuses(after(3))), 1)
 
-	s.Hear(Status{ID: "b", Draining: true}, after(3))
+	s.Receive(Status{ID: "b", Draining: true}, after(3))
 	assert.DeepEqual(t, s.Entries(), []instance.ID{"a"})
 }
 
@@ -38,16 +38,16 @@
 	assert.Assert(t, !s.Gone("x", after(999)), "the list was never read")
 
 	x := instance.Instance{ID: "x", Role: instance.Engine}
-	s.List([]instance.Instance{x}, now)
+	s.UpdateList([]instance.Instance{x}, now)
 	assert.Assert(t, !s.Gone("x", after(999)))
 
-	s.List(nil, after(10))
+	s.UpdateList(nil, after(10))
 	assert.Assert(t, !s.Gone("x", after(20)))
 	assert.Assert(t, s.Gone("x", after(21)))
 	assert.Assert(t, !s.Gone("y", after(10)), "never listed, and the list was first read ten seconds ago")
 	assert.Assert(t, s.Gone("y", after(11)))
 
-	s.List([]instance.Instance{x}, after(22))
+	s.UpdateList([]instance.Instance{x}, after(22))
 	assert.Assert(t, !s.Gone("x", after(99)))
 }
 
@@ -65,21 +65,21 @@
 		"no status":                         {list: listed},
 		"status from before the takeover":   {status: &Status{ID: "b", Process: "p"}, at: after(9), list: listed},
 		"still believes it holds the lease": {status: &Status{ID: "b", Process: "p", Leases: []Lease{{Cell: 3, Token: 1}}}, at: after(11), list: listed},
-		"has an order in flight":            {status: &Status{ID: "b", Process: "p", OrdersInHand: []int{3}}, at: after(11), list: listed},
-		"has one for another cell":          {status: &Status{ID: "b", Process: "p", OrdersInHand: []int{4}}, at: after(11), list: listed, want: true},
+		"has an order in flight":            {status: &Status{ID: "b", Process: "p", OrdersInFlight: []int{3}}, at: after(11), list: listed},
+		"has one for another cell":          {status: &Status{ID: "b", Process: "p", OrdersInFlight: []int{4}}, at: after(11), list: listed, want: true},
 		"reports neither lease nor order":   {status: &Status{ID: "b", Process: "p"}, at: after(11), list: listed, want: true},
 		"another process on the instance":   {status: &Status{ID: "b", Process: "q", Leases: []Lease{{Cell: 3}}}, at: after(11), list: listed, want: true},
 		"off the list":                      {want: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSet()
-			s.List(tc.list, now)
+			s.UpdateList(tc.list, now)
 
 			if tc.status != nil {
-				s.Hear(*tc.status, tc.at)
+				s.Receive(*tc.status, tc.at)
 			}
 
-			assert.Equal(t, s.Settled("b", "p", 3, taken, after(12)), tc.want)
+			assert.Equal(t, s.FinishedWith("b", "p", 3, taken, after(12)), tc.want)
 		})
 	}
 }
--- a/internal/fleet/peer/status.go
+++ b/internal/fleet/peer/status.go
@@ -40,21 +40,21 @@
 	// ListVersion is the version of the lists in force on the entry.
 	ListVersion uint64
 	Leases      []Lease
-	// OrdersInHand are the cells for which the process has an order that it may still
+	// OrdersInFlight are the cells for which the process has an order that it may still
 	// send or that has not been answered.
-	OrdersInHand []int
+	OrdersInFlight []int
 	// Leaving are the targets that the entry has recorded as leaving.
 	Leaving []instance.ID
-	// Poisoned are the fingerprints of requests that crash targets.
-	Poisoned []request.Fingerprint
-	Plans    []PlanCount
-	Clock    timeline.Stamp
+	// BlockedFingerprints are the fingerprints of requests that crash targets.
+	BlockedFingerprints []request.Fingerprint
+	Plans               []PlanCount
+	Clock               timeline.Stamp
 }
 
-// Settled reports whether the process neither holds the cell's lease nor has an
+// FinishedWith reports whether the process neither holds the cell's lease nor has an
 // order in flight for the cell.
-func (s *Status) Settled(cell int) bool {
+func (s *Status) FinishedWith(cell int) bool {
 	holds := slices.ContainsFunc(s.Leases, func(l Lease) bool { return l.Cell == cell })
 
-	return !holds && !slices.Contains(s.OrdersInHand, cell)
+	return !holds && !slices.Contains(s.OrdersInFlight, cell)
 }
--- a/internal/measure/figure/capacity.go
+++ b/internal/measure/figure/capacity.go
@@ -197,19 +197,19 @@
 // membership is hearing one peer among many.
 func membership(entries int) cost {
 	build := func() *peer.Set {
-		s := &peer.Set{Self: "self", Terms: peer.DefaultTerms()}
+		s := &peer.Set{Self: "self", Timing: peer.DefaultTiming()}
 		all := make([]instance.Instance, entries)
 
 		for i := range all {
 			all[i] = instance.Instance{ID: id("entry", i), Role: instance.Entry, State: instance.Live}
 		}
 
-		s.List(all, time.Now())
+		s.UpdateList(all, time.Now())
 
 		for i := range entries {
 			st := statusOf(8)
 			st.ID = id("entry", i)
-			s.Hear(st, time.Now())
+			s.Receive(st, time.Now())
 		}
 
 		return s
@@ -217,7 +217,7 @@
 	s, st := build(), statusOf(8)
 
 	return cost{
-		what: "hearing one peer, by entries", size: entries, time: timeOf(func() { s.Hear(st, time.Now()) }),
+		what: "hearing one peer, by entries", size: entries, time: timeOf(func() { s.Receive(st, time.Now()) }),
 		heap: heapOf(func() any { return build() }),
 	}
 }
--- a/internal/placement/cell/world_test.go
+++ b/internal/placement/cell/world_test.go
@@ -155,8 +155,8 @@
 
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &proc{id: id, gate: &pause.Gate{}, cancel: cancel}
-	p.set = &peer.Set{Self: id, Terms: peer.DefaultTerms()}
-	p.set.Terms.ListLag = listLag
+	p.set = &peer.Set{Self: id, Timing: peer.DefaultTiming()}
+	p.set.Timing.ListLag = listLag
 
 	policy := replica.WeightsFor(0.5)
 	policy.KeepAlive = 5 * time.Second
@@ -273,7 +273,7 @@
 		}
 
 		all, _ := w.platform.Instances(ctx)
-		p.set.List(all, time.Now())
+		p.set.UpdateList(all, time.Now())
 
 		st := peer.Status{ID: p.id, Process: p.cfg.Process}
 		if l, ok := p.Lease(); ok {
@@ -281,7 +281,7 @@
 		}
 
 		if p.OrdersInFlight() {
-			st.OrdersInHand = append(st.OrdersInHand, 0)
+			st.OrdersInFlight = append(st.OrdersInFlight, 0)
 		}
 
 		w.mu.Lock()
@@ -290,7 +290,7 @@
 
 		for _, o := range others {
 			if o != p && !w.heartbeatsLost.Load() {
-				o.set.Hear(st, time.Now())
+				o.set.Receive(st, time.Now())
 			}
 		}
 
--- a/internal/wire/peer/messages.go
+++ b/internal/wire/peer/messages.go
@@ -68,7 +68,7 @@
 		Draining:     s.Draining,
 		Ready:        s.Ready,
 		ListVersion:  s.ListVersion,
-		OrdersInHand: s.OrdersInHand,
+		OrdersInHand: s.OrdersInFlight,
 		Leaving:      fromIDs(s.Leaving),
 		Clock:        uint64(s.Clock),
 	}
@@ -77,7 +77,7 @@
 		out.Leases = append(out.Leases, Lease{Cell: l.Cell, Token: l.Token})
 	}
 
-	for _, fp := range s.Poisoned {
+	for _, fp := range s.BlockedFingerprints {
 		out.Poisoned = append(out.Poisoned, uint64(fp))
 	}
 
@@ -108,16 +108,16 @@
 // ToStatus maps a status from the wire.
 func ToStatus(s Status) peer.Status {
 	out := peer.Status{
-		ID:           instance.ID(s.ID),
-		DataCentre:   instance.DataCentre(s.DataCentre),
-		Process:      s.Process,
-		Started:      time.UnixMilli(s.StartedMs),
-		Draining:     s.Draining,
-		Ready:        s.Ready,
-		ListVersion:  s.ListVersion,
-		OrdersInHand: s.OrdersInHand,
-		Leaving:      toIDs(s.Leaving),
-		Clock:        timeline.Stamp(s.Clock),
+		ID:             instance.ID(s.ID),
+		DataCentre:     instance.DataCentre(s.DataCentre),
+		Process:        s.Process,
+		Started:        time.UnixMilli(s.StartedMs),
+		Draining:       s.Draining,
+		Ready:          s.Ready,
+		ListVersion:    s.ListVersion,
+		OrdersInFlight: s.OrdersInHand,
+		Leaving:        toIDs(s.Leaving),
+		Clock:          timeline.Stamp(s.Clock),
 	}
 
 	for _, l := range s.Leases {
@@ -125,7 +125,7 @@
 	}
 
 	for _, fp := range s.Poisoned {
-		out.Poisoned = append(out.Poisoned, request.Fingerprint(fp))
+		out.BlockedFingerprints = append(out.BlockedFingerprints, request.Fingerprint(fp))
 	}
 
 	for _, p := range s.Plans {
--- a/internal/wire/peer/peer_test.go
+++ b/internal/wire/peer/peer_test.go
@@ -116,8 +116,8 @@
 
 	status := peer.Status{
 		ID: "a", DataCentre: "d", Process: "p", Started: ms, Draining: true, Ready: true, ListVersion: 9,
-		Leases: []peer.Lease{{Cell: 1, Token: 2}}, OrdersInHand: []int{3}, Leaving: []instance.ID{"t"},
-		Poisoned: []request.Fingerprint{1 << 63}, Clock: 5,
+		Leases: []peer.Lease{{Cell: 1, Token: 2}}, OrdersInFlight: []int{3}, Leaving: []instance.ID{"t"},
+		BlockedFingerprints: []request.Fingerprint{1 << 63}, Clock: 5,
 		Plans: []peer.PlanCount{{
 			Plan: "p", Running: 1, Waiting: 2, Answered: 3, Tokens: 4, Refused: map[request.Code]int64{request.Limited: 5},
 		}},
