--- a/main_test.go
+++ b/main_test.go
@@ -39,7 +39,7 @@
 
 // decisions are the packages that decide. They take their inputs as values.
 var decisions = []string{
-	"customer/key", "customer/limit", "customer/plan", "customer/quota", "customer/team", "fleet/instance", "fleet/inventory", "fleet/roll", "placement/demand", "placement/history", "placement/lease", "placement/ledger",
+	"customer/key", "customer/limit", "customer/plan", "customer/quota", "customer/team", "fleet/instance", "fleet/inventory", "fleet/membership", "placement/demand", "placement/history", "placement/lease", "placement/ledger",
 	"placement/replica", "placement/share", "placement/swap", "room/board", "serving/crash", "serving/queue", "serving/request",
 	"serving/route", "serving/router", "serving/stream",
 }
