--- a/internal/placement/demand/demand.go
+++ b/internal/placement/demand/demand.go
@@ -1,6 +1,6 @@
 // Package demand merges the demand that all entries report for a cell's models,
-// so that a burst over many entries causes one load. It does no I/O and reads no
-// clock.
+// so that a burst over many entries causes one load. It does no I/O and reads
+// no clock.
 package demand
 
 import (
@@ -40,8 +40,8 @@
 // that long has died or is disconnected, and its requests have ended with it.
 const Expiry = 3 * time.Second
 
-// Reports holds the last report of each entry. The zero value is empty. It is not
-// safe for concurrent use.
+// Reports holds the last report of each entry. The zero value is empty. It is
+// not safe for concurrent use.
 type Reports struct {
 	entries map[instance.ID]received
 }
@@ -53,22 +53,22 @@
 }
 
 // Record replaces the entry's report.
-func (b *Reports) Record(r Report, now time.Time) {
-	if b.entries == nil {
-		b.entries = make(map[instance.ID]received)
+func (r *Reports) Record(report Report, now time.Time) {
+	if r.entries == nil {
+		r.entries = make(map[instance.ID]received)
 	}
 
-	b.entries[r.Entry] = received{Report: r, at: now}
+	r.entries[report.Entry] = received{Report: report, at: now}
 }
 
 // Merged returns the demand of all entries, one element per model, sorted by
 // model. It deletes expired reports.
-func (b *Reports) Merged(now time.Time) []replica.Demand {
+func (r *Reports) Merged(now time.Time) []replica.Demand {
 	merged := make(map[string]*replica.Demand)
 
-	for id, e := range b.entries {
+	for id, e := range r.entries {
 		if now.Sub(e.at) > Expiry {
-			delete(b.entries, id)
+			delete(r.entries, id)
 
 			continue
 		}
@@ -118,12 +118,12 @@
 	into.Goal = replica.EarlierNonZero(into.Goal, d.Goal)
 }
 
-// WaitingEntries returns the number of entries at which requests wait, by the group of
-// their models.
-func (b *Reports) WaitingEntries(now time.Time, group func(model string) string) map[string]int {
-	lines := make(map[string]int)
+// WaitingEntries returns, for each group of models, the number of entries at
+// which requests wait for one of its models.
+func (r *Reports) WaitingEntries(now time.Time, group func(model string) string) map[string]int {
+	counts := make(map[string]int)
 
-	for _, e := range b.entries {
+	for _, e := range r.entries {
 		if now.Sub(e.at) > Expiry {
 			continue
 		}
@@ -134,20 +134,20 @@
 			g := group(d.Model)
 			if d.Waiting > 0 && !seen[g] {
 				seen[g] = true
-				lines[g]++
+				counts[g]++
 			}
 		}
 	}
 
-	return lines
+	return counts
 }
 
 // Running returns the number of requests that run on the replica, over all
 // entries.
-func (b *Reports) Running(k ledger.Key) int {
+func (r *Reports) Running(k ledger.Key) int {
 	n := 0
 
-	for _, e := range b.entries {
+	for _, e := range r.entries {
 		for _, u := range e.Uses {
 			if u.Key == k {
 				n += u.Running
@@ -159,9 +159,9 @@
 }
 
 // Uses returns the uses of all reports.
-func (b *Reports) Uses() []Use {
+func (r *Reports) Uses() []Use {
 	var out []Use
-	for _, e := range b.entries {
+	for _, e := range r.entries {
 		out = append(out, e.Uses...)
 	}
 
@@ -172,8 +172,8 @@
 // replica: every entry whose report has not expired has applied the snapshot
 // that removed the replica, or a later one, and no request runs there. Entries
 // whose reports have expired do not delay the unload.
-func (b *Reports) Drained(k ledger.Key, token, number uint64, now time.Time) bool {
-	for _, e := range b.entries {
+func (r *Reports) Drained(k ledger.Key, token, number uint64, now time.Time) bool {
+	for _, e := range r.entries {
 		if now.Sub(e.at) > Expiry {
 			continue
 		}
@@ -184,14 +184,14 @@
 		}
 	}
 
-	return b.Running(k) == 0
+	return r.Running(k) == 0
 }
 
 // Entries returns the number of entries whose reports have not expired.
-func (b *Reports) Entries(now time.Time) int {
+func (r *Reports) Entries(now time.Time) int {
 	n := 0
 
-	for _, e := range b.entries {
+	for _, e := range r.entries {
 		if now.Sub(e.at) <= Expiry {
 			n++
 		}
--- a/internal/placement/demand/demand_test.go
+++ b/internal/placement/demand/demand_test.go
@@ -15,10 +15,10 @@
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func TestMerged(t *testing.T) {
-	var b Reports
+	var r Reports
 
 	for i := range 8 {
-		b.Record(Report{
+		r.Record(Report{
 			Entry: instance.ID(fmt.Sprint(i)),
 			Waiting: []replica.Demand{{
 				Model: "m", Plan: fmt.Sprint("p", i), Waiting: 2, Priority: i, Deadline: now.Add(time.Duration(10-i) * time.Second),
@@ -27,17 +27,17 @@
 		}, now)
 	}
 
-	merged := b.Merged(now.Add(Expiry))
+	merged := r.Merged(now.Add(Expiry))
 	assert.DeepEqual(t, merged, []replica.Demand{
 		{Model: "m", Plan: "p7", Waiting: 16, Priority: 7, Deadline: now.Add(3 * time.Second)},
 		{Model: "n", Running: 8},
 	})
-	assert.Equal(t, len(b.Merged(now.Add(Expiry+1))), 0, "the reports have expired")
+	assert.Equal(t, len(r.Merged(now.Add(Expiry+1))), 0, "the reports have expired")
 }
 
-// TestQuiet checks when a replica that has been removed from routing may be
+// TestDrained checks when a replica that has been removed from routing may be
 // unloaded.
-func TestQuiet(t *testing.T) {
+func TestDrained(t *testing.T) {
 	k := ledger.Key{Target: "t", Model: "m"}
 
 	for name, tc := range map[string]struct {
@@ -54,12 +54,12 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var b Reports
-			for _, r := range tc.reports {
-				b.Record(r, now)
+			var r Reports
+			for _, report := range tc.reports {
+				r.Record(report, now)
 			}
 
-			assert.Equal(t, b.Drained(k, 2, 5, now), tc.want)
+			assert.Equal(t, r.Drained(k, 2, 5, now), tc.want)
 		})
 	}
 }
--- a/internal/placement/history/history.go
+++ b/internal/placement/history/history.go
@@ -45,8 +45,8 @@
 	last  time.Time
 }
 
-// Registry holds the recorded use of all models. The zero value is empty. It is not
-// safe for concurrent use.
+// Registry holds the recorded use of all models. The zero value is empty. It is
+// not safe for concurrent use.
 type Registry struct {
 	// Location is the time zone of the days; nil means UTC.
 	Location *time.Location
@@ -55,12 +55,12 @@
 	pooled [gapBuckets]float32
 }
 
-func (b *Registry) inLocation(t time.Time) time.Time {
-	if b.Location == nil {
+func (r *Registry) inLocation(t time.Time) time.Time {
+	if r.Location == nil {
 		return t.UTC()
 	}
 
-	return t.In(b.Location)
+	return t.In(r.Location)
 }
 
 func bucketOf(gap time.Duration) int {
@@ -82,18 +82,18 @@
 }
 
 // RecordUse records a use of the model.
-func (b *Registry) RecordUse(name string, at time.Time) {
-	if b.models == nil {
-		b.models = make(map[string]*usage)
+func (r *Registry) RecordUse(name string, at time.Time) {
+	if r.models == nil {
+		r.models = make(map[string]*usage)
 	}
 
-	m := b.models[name]
+	m := r.models[name]
 	if m == nil {
 		m = &usage{}
-		b.models[name] = m
+		r.models[name] = m
 	}
 
-	at = b.inLocation(at)
+	at = r.inLocation(at)
 	m.finishDays(at)
 	m.today[slotOf(at)] = true
 
@@ -102,11 +102,11 @@
 
 		for j := range m.gaps {
 			m.gaps[j] *= gapDecay
-			b.pooled[j] *= 1 - (1-gapDecay)/16 //nolint:mnd // Pooled counts decay more slowly.
+			r.pooled[j] *= 1 - (1-gapDecay)/16 //nolint:mnd // Pooled counts decay more slowly.
 		}
 
 		m.gaps[i]++
-		b.pooled[i]++
+		r.pooled[i]++
 	}
 
 	if at.After(m.last) {
@@ -162,24 +162,25 @@
 
 // Rate returns the predicted number of uses per second of the model at its
 // busiest moment in the given duration from now.
-func (b *Registry) Rate(name string, now time.Time, ahead time.Duration) float64 {
-	m := b.models[name]
+func (r *Registry) Rate(name string, now time.Time, ahead time.Duration) float64 {
+	m := r.models[name]
 	if m == nil {
 		return 0
 	}
 
-	now = b.inLocation(now)
+	now = r.inLocation(now)
 	m.finishDays(now)
 
-	return max(b.gapRate(m, now.Sub(m.last), ahead), m.slotRate(now, ahead))
+	return max(r.gapRate(m, now.Sub(m.last), ahead), m.slotRate(now, ahead))
 }
 
-// gapRate returns the hazard rate of the gaps: the probability per second of a
-// use, given how long the model has been idle. A model with few gaps of its own
-// is predicted mostly from the gaps of all models.
-func (b *Registry) gapRate(m *usage, idle, ahead time.Duration) float64 {
+// gapRate returns the highest hazard rate of the gaps in the given duration
+// from now: the probability per second of a use, given how long the model has
+// been idle. A model with few gaps of its own is predicted mostly from the gaps
+// of all models.
+func (r *Registry) gapRate(m *usage, idle, ahead time.Duration) float64 {
 	var pooled float64
-	for _, n := range b.pooled {
+	for _, n := range r.pooled {
 		pooled += float64(n)
 	}
 
@@ -192,7 +193,7 @@
 	for i := gapBuckets - 1; i >= first; i-- {
 		n := float64(m.gaps[i])
 		if pooled > 0 {
-			n += priorGaps * float64(b.pooled[i]) / pooled
+			n += priorGaps * float64(r.pooled[i]) / pooled
 		}
 
 		atLeast += n
@@ -241,13 +242,13 @@
 	return max(here, before/2, after/2) //nolint:mnd // Neighbours count half.
 }
 
-// Candidates returns the models whose rate in the given duration from now is at
-// least least, in no particular order.
-func (b *Registry) Candidates(now time.Time, ahead time.Duration, least float64) []string {
+// Candidates returns the models whose rate in the given duration from now is
+// minRate or more, in no particular order.
+func (r *Registry) Candidates(now time.Time, ahead time.Duration, minRate float64) []string {
 	var out []string
 
-	for name := range b.models {
-		if b.Rate(name, now, ahead) >= least {
+	for name := range r.models {
+		if r.Rate(name, now, ahead) >= minRate {
 			out = append(out, name)
 		}
 	}
@@ -256,4 +257,4 @@
 }
 
 // Len returns the number of models with a recorded use.
-func (b *Registry) Len() int { return len(b.models) }
+func (r *Registry) Len() int { return len(r.models) }
--- a/internal/placement/history/save.go
+++ b/internal/placement/history/save.go
@@ -34,15 +34,15 @@
 
 func (e *FormatError) Error() string { return "history: " + e.Reason }
 
-// Save returns the book as bytes, about 400 per model.
-func (b *Registry) Save() []byte {
+// Save returns the registry as bytes, about 400 per model.
+func (r *Registry) Save() []byte {
 	var buf bytes.Buffer
 
 	write := func(v any) { _ = binary.Write(&buf, binary.LittleEndian, v) }
-	write(header{Version: formatVersion, Models: uint32(len(b.models)), Pooled: b.pooled}) //nolint:gosec // Bounded.
+	write(header{Version: formatVersion, Models: uint32(len(r.models)), Pooled: r.pooled}) //nolint:gosec // Bounded.
 
-	for _, name := range slices.Sorted(maps.Keys(b.models)) {
-		m := b.models[name]
+	for _, name := range slices.Sorted(maps.Keys(r.models)) {
+		m := r.models[name]
 		write(uint16(len(name))) //nolint:gosec // Names are checked to be short.
 		buf.WriteString(name)
 
@@ -57,12 +57,13 @@
 	return buf.Bytes()
 }
 
-// Restore adds the saved models that the book has no record of.
-func (b *Registry) Restore(data []byte) error {
-	r := bytes.NewReader(data)
+// Restore adds the saved models that the registry does not contain, and adds
+// the saved pooled gaps to its own.
+func (r *Registry) Restore(data []byte) error {
+	reader := bytes.NewReader(data)
 
 	var h header
-	if err := binary.Read(r, binary.LittleEndian, &h); err != nil {
+	if err := binary.Read(reader, binary.LittleEndian, &h); err != nil {
 		return &FormatError{Reason: err.Error()}
 	}
 
@@ -73,7 +74,7 @@
 	models := make(map[string]*usage)
 
 	for range h.Models {
-		name, m, err := readModel(r)
+		name, m, err := readModel(reader)
 		if err != nil {
 			return &FormatError{Reason: err.Error()}
 		}
@@ -81,11 +82,11 @@
 		models[name] = m
 	}
 
-	maps.Copy(models, b.models)
-	b.models = models
+	maps.Copy(models, r.models)
+	r.models = models
 
 	for i := range h.Pooled {
-		b.pooled[i] += h.Pooled[i]
+		r.pooled[i] += h.Pooled[i]
 	}
 
 	return nil
--- a/internal/placement/replica/best.go
+++ b/internal/placement/replica/best.go
@@ -12,8 +12,8 @@
 	"github.com/fulmarcross/fulmarcross/internal/platform/weight"
 )
 
-// candidate is a target for a load. It carries what a load there would evict and
-// cost.
+// candidate is a target for a load. It carries what a load there would evict
+// and cost.
 type candidate struct {
 	// at is the target's index. If it is -1, reason says why there is no target.
 	at      int
@@ -144,7 +144,7 @@
 // with the least loss first. It never evicts replicas with waiting or running
 // requests, nor bases that a loaded adapter needs.
 func (d *decider) findVictims(c *candidate, t *Target, cp weight.Checkpoint, need int64) bool {
-	need -= d.leavingBytes(t)
+	need -= d.retiringBytes(t)
 	c.cost += unloadCost
 
 	var idle []*ledger.Row
@@ -174,25 +174,26 @@
 	}
 
 	if len(c.victims) == 0 {
-		// The replicas that are being unloaded make enough room. Retiring them
-		// again has no effect and makes the caller wait for them.
-		c.victims = d.leavingKeys(t)
+		// The replicas that are being retired already make enough room. Returned
+		// as victims, they keep place from starting the load before their memory
+		// is free; retire ignores them.
+		c.victims = d.retiringKeys(t)
 	}
 
 	return true
 }
 
-// unloadCost is how many seconds it takes until evicted memory is free: the
+// unloadCost is the number of seconds until evicted memory is free: the
 // entries must stop sending requests and the engine must confirm the unload.
 const unloadCost = 0.5
 
-// leavingBytes returns how many bytes the replicas that are being retired will
+// retiringBytes returns how many bytes the replicas that are being retired will
 // free.
-func (d *decider) leavingBytes(t *Target) int64 {
+func (d *decider) retiringBytes(t *Target) int64 {
 	var n int64
 
 	for _, r := range d.Ledger.Target(t.ID) {
-		if d.isLeaving(r) {
+		if d.isRetiring(r) {
 			n += r.Bytes
 		}
 	}
@@ -200,16 +201,17 @@
 	return n
 }
 
-// isLeaving reports whether the row's memory is about to be free.
-func (d *decider) isLeaving(r *ledger.Row) bool {
+// isRetiring reports whether the replica is being retired and its unload is not
+// stuck, so that its memory will be free soon.
+func (d *decider) isRetiring(r *ledger.Row) bool {
 	return (r.State.Retiring || d.retired[r.Key]) && !r.State.Stuck
 }
 
-func (d *decider) leavingKeys(t *Target) []ledger.Key {
+func (d *decider) retiringKeys(t *Target) []ledger.Key {
 	var keys []ledger.Key
 
 	for _, r := range d.Ledger.Target(t.ID) {
-		if d.isLeaving(r) {
+		if d.isRetiring(r) {
 			keys = append(keys, r.Key)
 		}
 	}
--- a/internal/placement/replica/decide.go
+++ b/internal/placement/replica/decide.go
@@ -32,18 +32,18 @@
 }
 
 // Decide returns the decisions for now, the most urgent loads first.
-func Decide(v *Snapshot) []Decision {
+func Decide(s *Snapshot) []Decision {
 	d := &decider{
-		Snapshot:         v,
-		reservedBytes:    make([]int64, len(v.Targets)),
+		Snapshot:         s,
+		reservedBytes:    make([]int64, len(s.Targets)),
 		retired:          make(map[ledger.Key]bool),
-		demanded:         make(map[string]bool, len(v.Demand)),
+		demanded:         make(map[string]bool, len(s.Demand)),
 		placed:           make(map[string]bool),
-		freeLoads:        v.FreeLoads,
-		freeAdapterLoads: v.FreeAdapterLoads,
+		freeLoads:        s.FreeLoads,
+		freeAdapterLoads: s.FreeAdapterLoads,
 	}
 
-	for _, dem := range v.Demand {
+	for _, dem := range s.Demand {
 		d.demanded[dem.Model] = true
 	}
 
@@ -181,7 +181,7 @@
 
 	best := d.cheapestTarget(cp, dem.Plan, evict)
 	if best.at < 0 {
-		d.denyFor(cp, dem, best.reason)
+		d.noTarget(cp, dem, best.reason)
 
 		return
 	}
@@ -192,9 +192,9 @@
 	}
 
 	if len(best.victims) > 0 {
-		// The memory is free only once the engine has confirmed the unload. The
-		// next round starts the load; until then, the prediction gives waiting
-		// requests the load's duration.
+		// The memory is free only once the engine has confirmed the unload. A
+		// later round starts the load; until then, the predicted time until the
+		// model is ready is the load's duration.
 		d.out = append(d.out, Predict{Model: cp.Name, ReadyIn: best.ready})
 
 		return
@@ -251,8 +251,8 @@
 	d.out = append(d.out, Predict{Model: cp.Name, ReadyIn: d.loadTime(base, target.TierRemote)})
 }
 
-// reserveLoad counts one more load against the cell's share of the weight
-// store's concurrency. It reports false if none is left.
+// reserveLoad takes one of the loads that the cell may still start within its
+// share of the weight store's concurrency. It returns false if none is left.
 func (d *decider) reserveLoad(cp weight.Checkpoint) bool {
 	left := &d.freeLoads
 	if cp.Base != "" {
@@ -294,10 +294,10 @@
 // is in use. It is also the predicted wait for memory or a target.
 const retryAfterBusy = 2 * time.Second
 
-// denyFor handles a demand for which no target was found. If the cause may pass,
-// such as memory that is in use, the requests keep waiting as long as their
-// deadline allows a wait for memory and the load.
-func (d *decider) denyFor(cp weight.Checkpoint, dem Demand, reason string) {
+// noTarget handles a demand for which no target was found. If the cause may
+// pass, such as memory that is in use, the requests keep waiting as long as
+// their deadline allows a wait for memory and the load.
+func (d *decider) noTarget(cp weight.Checkpoint, dem Demand, reason string) {
 	if ready, _ := d.count(cp.Name); ready > 0 {
 		return
 	}
@@ -337,11 +337,11 @@
 	return 0, false
 }
 
-func backoff(terms Weights, failures int, model string) time.Duration {
+func backoff(weights Weights, failures int, model string) time.Duration {
 	const half = 0.5
 
-	wait := float64(terms.RetryBase) * math.Pow(2, float64(min(max(failures, 1), 16)-1)) //nolint:mnd // Doubles for up to 16 failures.
-	wait = min(wait, float64(terms.RetryMax))
+	wait := float64(weights.RetryBase) * math.Pow(2, float64(min(max(failures, 1), 16)-1)) //nolint:mnd // Doubles for up to 16 failures.
+	wait = min(wait, float64(weights.RetryMax))
 
 	return time.Duration(wait * (half + half*jitter(model)))
 }
--- a/internal/placement/replica/decide_test.go
+++ b/internal/placement/replica/decide_test.go
@@ -17,9 +17,9 @@
 
 var now = time.Date(2026, 1, 1, 8, 0, 0, 0, time.UTC)
 
-// newView returns a view with targets t0, t1, … of 100 bytes each and with the
-// given rows.
-func newView(targets int, rows ...ledger.Row) *Snapshot {
+// newSnapshot returns a snapshot with targets t0, t1, … of 100 bytes each and
+// with the given rows.
+func newSnapshot(targets int, rows ...ledger.Row) *Snapshot {
 	v := &Snapshot{
 		Now: now, Ledger: &ledger.Ledger{}, Models: make(map[string]weight.Checkpoint),
 		FreeLoads: 4, FreeAdapterLoads: 32, BytesPerSecond: 10, Weights: WeightsFor(0.5),
@@ -72,132 +72,132 @@
 	}
 
 	for name, tc := range map[string]struct {
-		view   *Snapshot
-		demand []Demand
-		change func(*Snapshot)
-		want   []Decision
+		snapshot *Snapshot
+		demand   []Demand
+		change   func(*Snapshot)
+		want     []Decision
 	}{
-		"no demand":               {view: newView(2)},
-		"load on an empty target": {view: newView(1), demand: []Demand{waiting("a")}, want: []Decision{load("t0", "a", 6*time.Second)}},
-		"model is ready already":  {view: newView(1, row("t0", "a", target.Ready)), demand: []Demand{waiting("a")}},
+		"no demand":               {snapshot: newSnapshot(2)},
+		"load on an empty target": {snapshot: newSnapshot(1), demand: []Demand{waiting("a")}, want: []Decision{load("t0", "a", 6*time.Second)}},
+		"model is ready already":  {snapshot: newSnapshot(1, row("t0", "a", target.Ready)), demand: []Demand{waiting("a")}},
 		"model is loading already": {
-			view: newView(1, row("t0", "a", target.Loading)), demand: []Demand{waiting("a")},
+			snapshot: newSnapshot(1, row("t0", "a", target.Loading)), demand: []Demand{waiting("a")},
 			want: []Decision{Predict{Model: "a", ReadyIn: minPrediction}},
 		},
 		"target with cached weights first": {
-			view: newView(3), demand: []Demand{waiting("a")},
+			snapshot: newSnapshot(3), demand: []Demand{waiting("a")},
 			change: func(v *Snapshot) { v.Targets[1].Cached = map[string]target.Tier{"a": target.TierDisk} },
 			want:   []Decision{load("t1", "a", 2*time.Second)},
 		},
 		"faster target first": {
-			view: newView(3), demand: []Demand{waiting("a")},
+			snapshot: newSnapshot(3), demand: []Demand{waiting("a")},
 			change: func(v *Snapshot) { v.Targets[2].Speed = 4 },
 			want:   []Decision{load("t2", "a", 6*time.Second)},
 		},
 		"evict an idle replica": {
-			view: newView(1, row("t0", "b", target.Ready)), demand: []Demand{waiting("a")},
+			snapshot: newSnapshot(1, row("t0", "b", target.Ready)), demand: []Demand{waiting("a")},
 			want: []Decision{Retire{Target: "t0", Model: "b", ForModel: "a"}, Predict{Model: "a", ReadyIn: 6 * time.Second}},
 		},
 		"no eviction of a running replica": {
-			view:   newView(1, row("t0", "b", target.Ready, func(r *ledger.Row) { r.State.Running = 1 })),
-			demand: []Demand{waiting("a")},
-			want:   []Decision{Predict{Model: "a", ReadyIn: 8 * time.Second}},
+			snapshot: newSnapshot(1, row("t0", "b", target.Ready, func(r *ledger.Row) { r.State.Running = 1 })),
+			demand:   []Demand{waiting("a")},
+			want:     []Decision{Predict{Model: "a", ReadyIn: 8 * time.Second}},
 		},
 		"no eviction of a model with waiting requests": {
-			view: newView(1, row("t0", "b", target.Ready)), demand: []Demand{waiting("a"), waiting("b")},
+			snapshot: newSnapshot(1, row("t0", "b", target.Ready)), demand: []Demand{waiting("a"), waiting("b")},
 			want: []Decision{Predict{Model: "a", ReadyIn: 8 * time.Second}},
 		},
 		"memory of a stuck unload does not count as free": {
-			view: newView(1, row("t0", "b", target.Unloading, func(r *ledger.Row) {
+			snapshot: newSnapshot(1, row("t0", "b", target.Unloading, func(r *ledger.Row) {
 				r.State.Retiring, r.State.Stuck = true, true
 			})),
 			demand: []Demand{waiting("a")},
 			want:   []Decision{Predict{Model: "a", ReadyIn: 8 * time.Second}},
 		},
 		"deadline too close to wait for memory": {
-			view:   newView(1, row("t0", "b", target.Ready, func(r *ledger.Row) { r.State.Running = 1 })),
-			demand: []Demand{{Model: "a", Plan: "p", Waiting: 1, Deadline: now.Add(7 * time.Second)}},
-			want:   []Decision{Deny{Model: "a", Reason: ReasonBusy, RetryAfter: retryAfterBusy}},
+			snapshot: newSnapshot(1, row("t0", "b", target.Ready, func(r *ledger.Row) { r.State.Running = 1 })),
+			demand:   []Demand{{Model: "a", Plan: "p", Waiting: 1, Deadline: now.Add(7 * time.Second)}},
+			want:     []Decision{Deny{Model: "a", Reason: ReasonBusy, RetryAfter: retryAfterBusy}},
 		},
 		"model larger than any target": {
-			view: newView(2), demand: []Demand{waiting("huge")},
+			snapshot: newSnapshot(2), demand: []Demand{waiting("huge")},
 			want: []Decision{Deny{Model: "huge", Reason: ReasonTooLarge}},
 		},
 		"unknown model": {
-			view: newView(2), demand: []Demand{waiting("nope")},
+			snapshot: newSnapshot(2), demand: []Demand{waiting("nope")},
 			want: []Decision{Deny{Model: "nope", Reason: ReasonUnknown}},
 		},
 		"no target": {
-			view: newView(0), demand: []Demand{waiting("a")},
+			snapshot: newSnapshot(0), demand: []Demand{waiting("a")},
 			want: []Decision{Deny{Model: "a", Reason: ReasonNoTarget, RetryAfter: retryAfterBusy}},
 		},
 		"a lost target's replica does not serve": {
-			view: newView(2, row("t0", "a", target.Ready)), demand: []Demand{waiting("a")},
+			snapshot: newSnapshot(2, row("t0", "a", target.Ready)), demand: []Demand{waiting("a")},
 			change: func(v *Snapshot) { v.Targets[0].Lost, v.Targets[0].Usable = true, false },
 			want:   []Decision{load("t1", "a", 6*time.Second)},
 		},
 		"cancel a retirement": {
-			view:   newView(1, row("t0", "a", target.Ready, func(r *ledger.Row) { r.State.Retiring = true })),
-			demand: []Demand{waiting("a")},
-			want:   []Decision{CancelRetire{Target: "t0", Model: "a"}},
+			snapshot: newSnapshot(1, row("t0", "a", target.Ready, func(r *ledger.Row) { r.State.Retiring = true })),
+			demand:   []Demand{waiting("a")},
+			want:     []Decision{CancelRetire{Target: "t0", Model: "a"}},
 		},
 		"base before adapter": {
-			view: newView(1), demand: []Demand{waiting("a+")},
+			snapshot: newSnapshot(1), demand: []Demand{waiting("a+")},
 			want: []Decision{load("t0", "a", 6*time.Second), Predict{Model: "a+", ReadyIn: 6 * time.Second}},
 		},
 		"adapter beside its base": {
-			view: newView(2, row("t1", "a", target.Ready)), demand: []Demand{waiting("a+")},
+			snapshot: newSnapshot(2, row("t1", "a", target.Ready)), demand: []Demand{waiting("a+")},
 			want: []Decision{Load{
 				Target: "t1", Model: "a+", Base: "a", Bytes: 5, Plan: "p", ReadyIn: 500 * time.Millisecond,
 			}},
 		},
 		"second replica when crowded": {
-			view:   newView(2, row("t0", "a", target.Ready, func(r *ledger.Row) { r.State.Running = 4 })),
-			demand: []Demand{{Model: "a", Plan: "p", Waiting: 3, Running: 4, Deadline: now.Add(time.Minute)}},
-			want:   []Decision{load("t1", "a", 6*time.Second)},
+			snapshot: newSnapshot(2, row("t0", "a", target.Ready, func(r *ledger.Row) { r.State.Running = 4 })),
+			demand:   []Demand{{Model: "a", Plan: "p", Waiting: 3, Running: 4, Deadline: now.Add(time.Minute)}},
+			want:     []Decision{load("t1", "a", 6*time.Second)},
 		},
 		"no load of the weight store left": {
-			view: newView(1), demand: []Demand{waiting("a")},
+			snapshot: newSnapshot(1), demand: []Demand{waiting("a")},
 			change: func(v *Snapshot) { v.FreeLoads = 0 },
 			want:   []Decision{Predict{Model: "a", ReadyIn: 12 * time.Second}},
 		},
 		"limit of loads per hour": {
-			view: newView(1), demand: []Demand{waiting("a")},
+			snapshot: newSnapshot(1), demand: []Demand{waiting("a")},
 			change: func(v *Snapshot) { v.Targets[0].LoadsLastHour = v.Weights.LoadsPerHour },
 			want:   []Decision{Predict{Model: "a", ReadyIn: 8 * time.Second}},
 		},
 		"idle for too long": {
-			view: newView(1, row("t0", "a", target.Ready, func(r *ledger.Row) { r.State.LastUsed = now.Add(-time.Hour) })),
-			want: []Decision{Retire{Target: "t0", Model: "a"}},
+			snapshot: newSnapshot(1, row("t0", "a", target.Ready, func(r *ledger.Row) { r.State.LastUsed = now.Add(-time.Hour) })),
+			want:     []Decision{Retire{Target: "t0", Model: "a"}},
 		},
 		"idle, but use predicted soon": {
-			view:   newView(1, row("t0", "a", target.Ready, func(r *ledger.Row) { r.State.LastUsed = now.Add(-time.Hour) })),
-			change: func(v *Snapshot) { v.Forecast = rates{"a": 0.01} },
+			snapshot: newSnapshot(1, row("t0", "a", target.Ready, func(r *ledger.Row) { r.State.LastUsed = now.Add(-time.Hour) })),
+			change:   func(v *Snapshot) { v.Forecast = rates{"a": 0.01} },
 		},
 		"no use predicted soon": {
-			view:   newView(1, row("t0", "a", target.Ready)),
-			change: func(v *Snapshot) { v.Forecast = rates{"a": 0.00001} },
-			want:   []Decision{Retire{Target: "t0", Model: "a"}},
+			snapshot: newSnapshot(1, row("t0", "a", target.Ready)),
+			change:   func(v *Snapshot) { v.Forecast = rates{"a": 0.00001} },
+			want:     []Decision{Retire{Target: "t0", Model: "a"}},
 		},
 		"load ahead of predicted use": {
-			view:   newView(1),
-			change: func(v *Snapshot) { v.Forecast, v.Candidates = rates{"a": 0.01}, []string{"a", "b"} },
-			want:   []Decision{Load{Target: "t0", Model: "a", Bytes: 60, ReadyIn: 6 * time.Second}},
+			snapshot: newSnapshot(1),
+			change:   func(v *Snapshot) { v.Forecast, v.Candidates = rates{"a": 0.01}, []string{"a", "b"} },
+			want:     []Decision{Load{Target: "t0", Model: "a", Bytes: 60, ReadyIn: 6 * time.Second}},
 		},
 		"base that is predicted for itself and for its adapter is loaded once": {
-			view:   newView(3),
-			change: func(v *Snapshot) { v.Forecast, v.Candidates = rates{"a": 1, "a+": 1}, []string{"a", "a+"} },
+			snapshot: newSnapshot(3),
+			change:   func(v *Snapshot) { v.Forecast, v.Candidates = rates{"a": 1, "a+": 1}, []string{"a", "a+"} },
 			want: []Decision{
 				Load{Target: "t0", Model: "a", Bytes: 60, ReadyIn: 6 * time.Second},
 				Predict{Model: "a+", ReadyIn: 6 * time.Second},
 			},
 		},
 		"prediction evicts no model": {
-			view:   newView(1, row("t0", "b", target.Ready)),
-			change: func(v *Snapshot) { v.Forecast, v.Candidates = rates{"a": 0.01, "b": 0.01}, []string{"a"} },
+			snapshot: newSnapshot(1, row("t0", "b", target.Ready)),
+			change:   func(v *Snapshot) { v.Forecast, v.Candidates = rates{"a": 0.01, "b": 0.01}, []string{"a"} },
 		},
 		"backoff after a failed load": {
-			view: newView(2, row("t0", "a", target.Failed, func(r *ledger.Row) {
+			snapshot: newSnapshot(2, row("t0", "a", target.Failed, func(r *ledger.Row) {
 				r.State.Since, r.State.Failures = now, 9
 			})),
 			demand: []Demand{waiting("a")},
@@ -207,12 +207,12 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			tc.view.Demand = tc.demand
+			tc.snapshot.Demand = tc.demand
 			if tc.change != nil {
-				tc.change(tc.view)
+				tc.change(tc.snapshot)
 			}
 
-			assert.DeepEqual(t, Decide(tc.view), tc.want)
+			assert.DeepEqual(t, Decide(tc.snapshot), tc.want)
 		})
 	}
 }
@@ -220,7 +220,7 @@
 // TestUrgentFirst checks that, if only one load may start, it is that of the
 // model whose waiting request has the highest priority.
 func TestUrgentFirst(t *testing.T) {
-	v := newView(3)
+	v := newSnapshot(3)
 	v.FreeLoads = 1
 	late, early, high := waiting("a"), waiting("b"), waiting("c")
 	early.Deadline = now.Add(30 * time.Second)
@@ -238,13 +238,13 @@
 	return !ok
 }
 
-// TestInvariants checks the invariants of a round in random states: the loads of
-// a round do not overcommit the memory of a target, no more loads start than
-// may, no model is loaded twice, and no replica that is running is retired, nor
-// one with demand to make room for another model.
+// TestInvariants checks the invariants of a round in random states: its loads
+// do not overcommit the memory of a target, it starts at most FreeLoads and
+// FreeAdapterLoads loads, it loads no model twice, it retires no replica with
+// running requests, and it evicts no model with demand for another model.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		v := newView(rapid.IntRange(0, 4).Draw(t, "targets"))
+		v := newSnapshot(rapid.IntRange(0, 4).Draw(t, "targets"))
 		v.FreeLoads = rapid.IntRange(0, 4).Draw(t, "loads")
 		v.FreeAdapterLoads = rapid.IntRange(0, 2).Draw(t, "adapterLoads")
 
@@ -282,12 +282,12 @@
 			v.Candidates = names[:5]
 		}
 
-		checkRound(t, v, Decide(v))
+		checkDecisions(t, v, Decide(v))
 	})
 }
 
-func checkRound(t *rapid.T, v *Snapshot, decisions []Decision) {
-	held := make(map[instance.ID]int64)
+func checkDecisions(t *rapid.T, v *Snapshot, decisions []Decision) {
+	loadedBytes := make(map[instance.ID]int64)
 	loaded := make(map[string]int)
 	loads, adapters := 0, 0
 
@@ -295,10 +295,10 @@
 		switch d := d.(type) {
 		case Load:
 			at := slices.IndexFunc(v.Targets, func(t Target) bool { return t.ID == d.Target })
-			held[d.Target] += d.Bytes
+			loadedBytes[d.Target] += d.Bytes
 			loaded[d.Model]++
 
-			if v.Ledger.UsedBytes(d.Target)+held[d.Target] > v.Targets[at].Memory {
+			if v.Ledger.UsedBytes(d.Target)+loadedBytes[d.Target] > v.Targets[at].Memory {
 				t.Fatalf("%v overcommits the memory of %s", d, d.Target)
 			}
 
@@ -313,9 +313,9 @@
 			}
 		case Retire:
 			r := v.Ledger.Row(ledger.Key{Target: d.Target, Model: d.Model})
-			asked := slices.ContainsFunc(v.Demand, func(dem Demand) bool { return dem.Model == d.Model })
+			hasDemand := slices.ContainsFunc(v.Demand, func(dem Demand) bool { return dem.Model == d.Model })
 
-			if r.State.Running > 0 || d.ForModel != "" && asked {
+			if r.State.Running > 0 || d.ForModel != "" && hasDemand {
 				t.Fatalf("%v: replica is in use", d)
 			}
 		}
--- a/internal/placement/replica/idle.go
+++ b/internal/placement/replica/idle.go
@@ -28,21 +28,22 @@
 	unloadBelow = 0.8
 )
 
-// valueRate returns the value of a loaded replica per second, in accelerators:
-// the predicted rate at which it saves a client the wait for a load, times the
-// cost of that wait. The prediction covers the time of a load and some slack.
+// valueRate returns the value of a loaded replica as the number of idle
+// accelerators that would cost as much: the predicted rate of uses, times the
+// load time that each use saves a client, times the cost of a second of
+// waiting. The prediction covers the time of a load and some slack.
 func (d *decider) valueRate(model string, load time.Duration) float64 {
 	const slack = 10 * time.Second
 
 	return d.Forecast.Rate(model, d.Now, load+slack) * load.Seconds() * d.Weights.WaitCost
 }
 
-// memoryShare returns the cost of an idle replica per second, which is its share
-// of the accelerator's memory.
+// memoryShare returns the cost of an idle replica as a number of idle
+// accelerators, which is the share of the memory that it takes.
 func memoryShare(bytes, memory int64) float64 { return float64(bytes) / float64(max(1, memory)) }
 
-// preLoad loads models ahead of their predicted use. It uses free memory only: a
-// prediction never evicts a model.
+// preLoad loads models ahead of their predicted use. It uses free memory only:
+// no model is evicted because of a prediction.
 func (d *decider) preLoad() {
 	if d.Forecast == nil {
 		return
@@ -70,8 +71,9 @@
 	}
 }
 
-// bestTier returns the fastest tier in which a usable target has the model. A
-// model that is cached in memory is hardly worth loading ahead of its use.
+// bestTier returns the fastest tier in which a usable target has the model. The
+// value of a load ahead of use depends on it: a model that is cached in memory
+// is hardly worth loading ahead.
 func (d *decider) bestTier(model string) target.Tier {
 	best := target.TierRemote
 
@@ -154,9 +156,10 @@
 	return d.valueRate(r.Model, load) < unloadBelow*memoryShare(r.Bytes, t.Memory)
 }
 
-// firstUseTimeout is how long a replica that was loaded ahead of its use is kept
-// before its first use. It equals the forecast's slots: with a shorter time, the
-// same model would be unloaded and loaded again within one slot.
+// firstUseTimeout is how long a replica that was loaded ahead of its use is
+// kept before its first use. It equals the length of the forecast's time slots
+// (package history): with a shorter time, the same model would be unloaded and
+// loaded again within one time slot.
 const firstUseTimeout = 15 * time.Minute
 
 // minResidence is the minimum time before a replica is unloaded, so that its
--- a/internal/placement/replica/replica.go
+++ b/internal/placement/replica/replica.go
@@ -1,6 +1,6 @@
 // Package replica decides which models are loaded on which targets. Its
-// decisions are pure functions of their input: the package does no I/O and reads
-// no clock.
+// decisions are pure functions of their input: the package does no I/O and
+// reads no clock.
 package replica
 
 import (
@@ -27,7 +27,7 @@
 	Lost   bool
 	Cached map[string]target.Tier
 	// LoadsLastHour is the number of loads in the last hour, which
-	// [Terms].LoadsPerHour limits to prevent thrashing.
+	// [Weights].LoadsPerHour limits to prevent thrashing.
 	LoadsLastHour int
 }
 
@@ -48,8 +48,8 @@
 	Priority       int
 }
 
-// EarlierNonZero returns the earlier of two times. A zero time means that there is
-// none.
+// EarlierNonZero returns the earlier of two times. A zero time means that there
+// is none.
 func EarlierNonZero(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -66,8 +66,8 @@
 	// KeepAlive is how long an idle replica stays loaded when there is no
 	// forecast.
 	KeepAlive time.Duration
-	// ScaleUp is the fraction of used slots above which another replica is
-	// loaded.
+	// ScaleUp is the ratio of waiting and running requests to slots above which
+	// another replica is loaded.
 	ScaleUp float64
 	// LoadsPerHour limits the loads on one target.
 	LoadsPerHour int
@@ -105,7 +105,7 @@
 	Weights      Weights
 }
 
-// Decision is one of Load, Retire, Revive, Expect and Deny.
+// Decision is one of Load, Retire, CancelRetire, Predict and Deny.
 type Decision interface{ decision() }
 
 // Load starts the load of a replica.
@@ -127,7 +127,8 @@
 	ForModel string
 }
 
-// CancelRetire cancels the retirement of a replica, so that it accepts requests again.
+// CancelRetire cancels the retirement of a replica, so that it accepts requests
+// again.
 type CancelRetire struct {
 	Target instance.ID
 	Model  string
--- a/internal/placement/share/share_test.go
+++ b/internal/placement/share/share_test.go
@@ -10,14 +10,14 @@
 
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// TestNeverMoreThanAll checks that the loads in flight of all cells never exceed
-// the weight store's concurrency, while many cells load at once and granters die
-// and are replaced.
-func TestNeverMoreThanAll(t *testing.T) {
+// TestTotalIsNotExceeded checks that the loads in flight of all cells never
+// exceed the weight store's concurrency, while many cells load at once and
+// granters die and are replaced.
+func TestTotalIsNotExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const cells, total = 6, 4
 
-		// allowed returns what a cell may still start under its last grant.
+		// allowed returns the cell's last grant if it has not expired, else zero.
 		allowed := func(granted int, until, at time.Time) Loads {
 			if at.Before(until) {
 				return Loads{Models: granted}
@@ -74,10 +74,10 @@
 
 func TestNewGranterWaits(t *testing.T) {
 	g := Granter{Total: Loads{Models: 4}}
-	a := Request{Cell: 1, Wanted: Loads{Models: 2}}
+	r := Request{Cell: 1, Wanted: Loads{Models: 2}}
 
-	assert.Equal(t, g.Grant(a, now).Models, 0, "the granter has not started")
+	assert.Equal(t, g.Grant(r, now).Models, 0, "the granter has not started")
 	g.Start(now)
-	assert.Equal(t, g.Grant(a, now.Add(GrantDuration)).Models, 0)
-	assert.Equal(t, g.Grant(a, now.Add(GrantDuration+grantMargin)).Models, 2)
+	assert.Equal(t, g.Grant(r, now.Add(GrantDuration)).Models, 0)
+	assert.Equal(t, g.Grant(r, now.Add(GrantDuration+grantMargin)).Models, 2)
 }
--- a/internal/placement/swap/adapter.go
+++ b/internal/placement/swap/adapter.go
@@ -32,8 +32,8 @@
 // PlaceAdapter returns the target on which to load an adapter: the one with the
 // fewest running requests among those with a free slot or, if there are none,
 // among those with an idle adapter to unload.
-func PlaceAdapter(sites []AdapterTarget, slots int, now time.Time) (AdapterSwap, bool) {
-	sorted := slices.Clone(sites)
+func PlaceAdapter(targets []AdapterTarget, slots int, now time.Time) (AdapterSwap, bool) {
+	sorted := slices.Clone(targets)
 	slices.SortStableFunc(sorted, func(a, b AdapterTarget) int {
 		return cmp.Or(
 			cmp.Compare(full(a, slots), full(b, slots)),
@@ -42,21 +42,21 @@
 		)
 	})
 
-	for _, s := range sorted {
-		if len(s.Adapters) < slots {
-			return AdapterSwap{Target: s.ID}, true
+	for _, t := range sorted {
+		if len(t.Adapters) < slots {
+			return AdapterSwap{Target: t.ID}, true
 		}
 
-		if idle := oldestIdle(s.Adapters, now); idle != "" {
-			return AdapterSwap{Target: s.ID, Unload: idle}, true
+		if idle := oldestIdle(t.Adapters, now); idle != "" {
+			return AdapterSwap{Target: t.ID, Unload: idle}, true
 		}
 	}
 
 	return AdapterSwap{}, false
 }
 
-func full(s AdapterTarget, slots int) int {
-	if len(s.Adapters) >= slots {
+func full(t AdapterTarget, slots int) int {
+	if len(t.Adapters) >= slots {
 		return 1
 	}
 
--- a/internal/placement/swap/exhaustive_test.go
+++ b/internal/placement/swap/exhaustive_test.go
@@ -12,8 +12,8 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/target"
 )
 
-// randomCase returns a random small case: a few targets, each with the weights of
-// some models on disk, and models without a replica that requests wait for.
+// randomCase returns a random small case: a few targets, each with the weights
+// of some models on disk, and models without a replica that requests wait for.
 func randomCase(r *rand.Rand) *Snapshot {
 	const models = 8
 
@@ -66,7 +66,7 @@
 	return most
 }
 
-// TestDecideAgainstExhaustive compares Plan with the best of all assignments
+// TestDecideAgainstExhaustive compares Decide with the best of all assignments
 // when requests wait for several models at once, whose weights are on the disks
 // of a few targets that can each accept one order. It guards against a model
 // taking the only target that another model needs although a third target has
@@ -82,15 +82,15 @@
 		v := randomCase(r)
 		n := 0
 
-		for _, m := range Decide(v).Swaps {
-			if m.Reason == ReasonWaiting {
+		for _, s := range Decide(v).Swaps {
+			if s.Reason == ReasonWaiting {
 				n++
 			}
 		}
 
 		maximum := best(v, 0, make(map[instance.ID]bool))
 
-		assert.Assert(t, n <= maximum, "Plan started more loads from disk than any assignment can")
+		assert.Assert(t, n <= maximum, "Decide started more loads from disk than any assignment can")
 
 		started += n
 		possible += maximum
--- a/internal/placement/swap/fill.go
+++ b/internal/placement/swap/fill.go
@@ -10,8 +10,9 @@
 )
 
 const (
-	// reservedTargets is the fraction of the targets that is kept without
-	// orders, for requests that arrive meanwhile.
+	// reservedTargets is the fraction of the targets that must remain without an
+	// order when models are loaded ahead of demand, for requests that arrive
+	// meanwhile.
 	reservedTargets = 0.5
 	// shuffleInterval is how long models with the same rate keep their order.
 	shuffleInterval = 10 * time.Second
@@ -20,8 +21,9 @@
 // loadAheadFromCache loads models without a replica into free memory of targets
 // that have their weights in host memory or on disk.
 //
-// It handles the first minutes, in which a third of the memory is empty:
-// requests for a rarely used model that is already loaded are served at once.
+// It uses the memory that is free in the first minutes of operation, about a
+// third, so that requests for a rarely used model that has been loaded ahead
+// are served at once.
 func (d *decider) loadAheadFromCache() {
 	free := d.freeTargets()
 	reserved := int(reservedTargets * float64(d.servingTargets()))
@@ -49,8 +51,8 @@
 	}
 }
 
-// freeTargets returns the targets that could accept an order now, those with the
-// fewest running requests first.
+// freeTargets returns the targets that could accept an order now, those with
+// the fewest running requests first.
 func (d *decider) freeTargets() []*Target {
 	var out []*Target
 
--- a/internal/placement/swap/odd_test.go
+++ b/internal/placement/swap/odd_test.go
@@ -9,10 +9,10 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/route"
 )
 
-// TestUnusualConfigurations checks configurations that omit some sizes and times
-// or contain a model that is larger than any target, and services without
-// targets. Models that can be served must be loaded, and the others must be
-// reported as never ready.
+// TestUnusualConfigurations checks configurations that omit some sizes and
+// times or contain a model that does not fit into any target's memory, and
+// services without targets. Models that can be served must be loaded, and the
+// others must be reported as never ready.
 func TestUnusualConfigurations(t *testing.T) {
 	plain := route.Model{Name: "m0", MB: 10, FromStore: 6 * time.Second}
 
@@ -33,13 +33,13 @@
 		"no models":                       {route.Engine{MemoryMB: 30}, []Target{targetWith("a")}, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			round := Decide(&Snapshot{
+			decisions := Decide(&Snapshot{
 				Now: now, Engine: &c.engine, Targets: c.targets, FreeStoreLoads: 4, StoreLoadsEndIn: []time.Duration{0},
 				Demands: []Demand{waiting("m0"), waiting("unknown")}, LongTermRate: map[string]float64{"m0": 1},
 			})
 
-			assert.Equal(t, len(round.Swaps), c.loads)
-			assert.Equal(t, round.ReadyIn["m0"] == never, c.never)
+			assert.Equal(t, len(decisions.Swaps), c.loads)
+			assert.Equal(t, decisions.ReadyIn["m0"] == never, c.never)
 		})
 	}
 }
--- a/internal/placement/swap/replica.go
+++ b/internal/placement/swap/replica.go
@@ -18,13 +18,13 @@
 )
 
 // crowdedAbove returns how many requests a replica may have before another is
-// loaded. It is a fraction of the target's slots, because the number of requests
-// that a batch can carry before their prompts are processed late varies as much
-// as the number of slots.
+// loaded. It is a fraction of the target's slots, because an engine with more
+// slots can also run proportionally more requests in a batch before it
+// processes their prompts late.
 func crowdedAbove(e *route.Engine) int { return fractionOfSlots(e, crowdedFraction) }
 
-// overloadedAbove returns how many requests a replica may have before another is
-// loaded even from the weight store.
+// overloadedAbove returns how many requests a replica may have before another
+// is loaded even from the weight store.
 func overloadedAbove(e *route.Engine) int { return fractionOfSlots(e, overloadedFraction) }
 
 func fractionOfSlots(e *route.Engine, fraction float64) int {
@@ -47,7 +47,8 @@
 
 // addReplicas adds replicas of a crowded model, several at once. When demand
 // moves to another model, its requests accumulate on one replica within a
-// second. With one load after another, they would wait for all the loads.
+// second. If the replicas were loaded one after another, the last of these
+// requests would wait for all the loads.
 func (d *decider) addReplicas(m route.Model, dem Demand) {
 	perReplica := crowdedAbove(d.Engine)
 	desired := (dem.Waiting + dem.Running + perReplica - 1) / perReplica
@@ -61,10 +62,10 @@
 // justifies a load from the weight store.
 //
 // It handles the loss of targets that have a busy model's weights on disk: the
-// few that are left receive all its requests, and no other target could load the
-// model from its own disk. The last load of the store is reserved for models
-// without a replica, unless the requests above the limit arrive at highWorth or
-// more.
+// few that are left receive all its requests, and no other target could load
+// the model from its own disk. The load may use the reserved loads
+// (reservedStoreLoads) only if the model's arrival rate times the fraction of
+// its requests above the limit is highWorth or more.
 func (d *decider) isOverloaded(dem Demand) bool {
 	requests := dem.Waiting + dem.Running
 	surplus := requests - overloadedAbove(d.Engine)*d.replicas[dem.Model]
--- a/internal/placement/swap/room.go
+++ b/internal/placement/swap/room.go
@@ -11,14 +11,14 @@
 const (
 	// unloadTime is the duration of an unload when no request runs on the model.
 	unloadTime = 150 * time.Millisecond
-	// maxRunTime is the longest time that a request on a model to be evicted is
-	// assumed to run on.
+	// maxRunTime is the assumed upper bound on the remaining run time of requests
+	// for a model that is to be evicted.
 	maxRunTime = 2 * time.Second
 	// evictRunningFrom is the number of requests that a load must serve before a
 	// model with running requests may be evicted for it.
 	evictRunningFrom = 3
-	// minIdleTime is how long a model is not evicted after its last use, because
-	// requests for it may be on their way.
+	// minIdleTime is how long a model or adapter is not evicted after its last
+	// use, because requests for it may be on their way.
 	minIdleTime = 300 * time.Millisecond
 )
 
@@ -39,8 +39,8 @@
 	loss float64
 }
 
-// freeMB returns the memory of a target that neither models nor the reserve for
-// adapters take.
+// freeMB returns a target's memory minus that of its models and the reserve for
+// adapters, in MB.
 func (d *decider) freeMB(t *Target) float64 {
 	free := d.usableMB
 	for _, r := range t.Models {
--- a/internal/placement/swap/store.go
+++ b/internal/placement/swap/store.go
@@ -12,29 +12,35 @@
 
 const (
 	// reservedStoreLoads is the number of loads from the weight store that are
-	// reserved for waiting requests.
+	// reserved for models without a replica that requests wait for, or that
+	// refused clients may come back for.
 	reservedStoreLoads = 1
 	// defaultRate is the arrival rate, in requests per second, that is assumed
 	// for a model without a recorded rate.
 	defaultRate = 0.02
 	// wantedRate is the arrival rate, in requests per second, at which a model
-	// is loaded for clients that were refused and may come back. It is about one
-	// request in the last ten seconds.
+	// is loaded for clients that were refused and may come back. It is compared
+	// with [Snapshot].LongTermRate, which a single request keeps at or above it
+	// for about ten seconds.
 	wantedRate = 0.03
-	// minStoreLoadTime is the lower bound on the duration of a load from the
-	// weight store. It also applies where the configuration gives no duration.
+	// minStoreLoadTime is the shortest duration of a load from the weight store
+	// by which the number of waiting requests is divided for the worth of the
+	// load. It also applies where the configuration gives no duration.
 	minStoreLoadTime = time.Second
-	// never is the ready time of a model that is larger than any target.
+	// never is the ready time that is reported for a model that does not fit
+	// into any target's memory.
 	never = time.Hour
-	// minSpareWorth is the number of requests per second that a spare replica
-	// must be predicted to save, because its load blocks a target for seconds.
+	// minSpareWorth is the minimum worth of a load of a spare replica, in requests
+	// per second, because the load blocks a target for seconds.
 	minSpareWorth = 0.05
-	// highWorth is the number of requests per second that a spare replica must
-	// be predicted to save to be loaded before the models that clients wait for.
+	// highWorth is the worth, in requests per second, from which a load ahead of
+	// demand, or another replica of an overloaded model, may use the reserved
+	// loads (reservedStoreLoads) and so go before the models that clients wait
+	// for.
 	highWorth = 1.0
-	// blankFraction is the fraction of the mean number of cached models at or
-	// below which a target counts as blank: hardly any load there could be a
-	// short one.
+	// blankFraction is the largest fraction of the mean number of cached models
+	// that a target may have cached to count as blank. Nearly every load on a
+	// blank target comes from the weight store anyway.
 	blankFraction = 0.25
 	// blockedWeight is the cost, in seconds of delay, of a load from the weight
 	// store for each model that its target has cached, because loads of those
@@ -42,7 +48,7 @@
 	blockedWeight = 0.1
 )
 
-// storeLoad is a useful load from the weight store.
+// storeLoad is a possible load from the weight store, with what it is worth.
 type storeLoad struct {
 	model  route.Model
 	demand Demand
@@ -52,9 +58,10 @@
 	worth float64
 }
 
-// loadFromStore starts the loads that only the weight store can serve, those
-// with the highest worth first, and predicts when the other models will be
-// ready.
+// loadFromStore starts loads from the weight store, those with the highest
+// worth first: of models whose weights no target has, and of spare replicas of
+// other models. It also predicts when the waiting models that it could not
+// start to load will be ready.
 //
 // It handles the replacement of targets by empty ones. The weights on the disks
 // of the old targets are lost with them, and the store loads few models at a
@@ -78,8 +85,8 @@
 	}
 }
 
-// isWanted reports whether requests wait for a model, or clients have been told
-// to come back for it.
+// isWanted reports whether requests wait for a model, or have arrived at
+// wantedRate or more, so that refused clients may come back for it.
 func (d *decider) isWanted(model string) bool {
 	return d.demandOf[model].Waiting > 0 || d.LongTermRate[model] >= wantedRate
 }
@@ -94,10 +101,10 @@
 	return d.Now
 }
 
-// storeLoads returns the models that the weight store could load, those with the
-// highest worth first. Among loads whose worth is the same within a factor of
-// two, the model with the earliest promise comes first, so that the ready times
-// that clients have received hold.
+// storeLoads returns the models that the weight store could load, those with
+// the highest worth first. Among loads whose worth is the same within a factor
+// of two, the model with the earliest promise comes first, so that the ready
+// times that clients have received hold.
 func (d *decider) storeLoads() []storeLoad {
 	var (
 		out    []storeLoad
@@ -164,9 +171,10 @@
 	return float64(len(t.Cached)) <= blankFraction*d.meanCached
 }
 
-// loadAhead loads a model on one of the targets that have room for it. A load of
-// high worth may also use the store loads that are reserved for waiting
-// requests, and evict models of lower worth.
+// loadAhead loads a model on one of the targets that have room for it. If the
+// load is worth highWorth or more, it may also use the reserved loads
+// (reservedStoreLoads), and evict models that together are worth at most half
+// as much.
 func (d *decider) loadAhead(l storeLoad, targets []*Target) {
 	high := l.worth >= highWorth
 	if d.freeStoreLoads <= reservedStoreLoads && !high || d.freeStoreLoads <= 0 {
@@ -178,13 +186,13 @@
 		maxLoss, targets = l.worth/2, d.freeTargets() //nolint:mnd // Evicted models may be worth at most half as much.
 	}
 
-	if m, ok := d.cheapest(l, targets, maxLoss, high); ok {
-		d.add(m)
+	if s, ok := d.cheapest(l, targets, maxLoss, high); ok {
+		d.add(s)
 	}
 }
 
-// cheapest returns the swap on the target where it costs other models least. The
-// loss of its evictions does not exceed maxLoss.
+// cheapest returns the swap on the target where it costs other models least.
+// The loss of its evictions does not exceed maxLoss.
 func (d *decider) cheapest(l storeLoad, targets []*Target, maxLoss float64, high bool) (Swap, bool) {
 	var best Swap
 
@@ -208,8 +216,8 @@
 }
 
 // predictReady predicts when a model that the weight store cannot load yet will
-// be ready: after the loads in flight and after the waiting loads of higher
-// worth.
+// be ready: its load starts after the loads in flight and after the waiting
+// loads of higher worth.
 func (d *decider) predictReady(m route.Model) {
 	if len(d.storeLoadsEndIn) == 0 {
 		return
--- a/internal/placement/swap/store_test.go
+++ b/internal/placement/swap/store_test.go
@@ -16,8 +16,8 @@
 )
 
 // TestStoreByWorth checks what the weight store loads first when it can start
-// few loads: the models with the most requests and, before targets leave, also a
-// spare replica of such a model.
+// few loads: the models with the most requests and, before targets leave, also
+// a spare replica of such a model.
 func TestStoreByWorth(t *testing.T) {
 	empty := []Target{targetWith("a"), targetWith("b")}
 	old := func() Target { return targetWith("old", "m0", "m1").withDisk("m0", "m1", "m4", "m5") }
@@ -46,7 +46,7 @@
 		"rarely used model without a replica while targets are stable": {
 			[]Target{old(), old().older(), targetWith("a")}, nil, map[string]float64{"m0": 30, "m2": 0.2}, 0.02, 2, []string{"m2 later"},
 		},
-		"last load is reserved for waiting requests": {
+		"last load of the store is reserved": {
 			[]Target{old().older(), targetWith("a")}, nil, map[string]float64{"m0": 3, "m2": 0.2}, 0.2, 1, nil,
 		},
 		"load of high worth takes the last load": {
@@ -62,11 +62,11 @@
 
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			round := Decide(&Snapshot{Now: now, Engine: engine(6), Targets: c.targets, Demands: c.demands, Rate: c.rate, LossRisk: c.risk, FreeStoreLoads: c.store})
+			decisions := Decide(&Snapshot{Now: now, Engine: engine(6), Targets: c.targets, Demands: c.demands, Rate: c.rate, LossRisk: c.risk, FreeStoreLoads: c.store})
 
 			var got []string
-			for _, m := range round.Swaps {
-				got = append(got, fmt.Sprintf("%s %s", m.Load, m.Reason))
+			for _, s := range decisions.Swaps {
+				got = append(got, fmt.Sprintf("%s %s", s.Load, s.Reason))
 			}
 
 			assert.DeepEqual(t, got, c.want)
@@ -82,8 +82,8 @@
 }
 
 // TestPredictReady checks the predicted ready times of models that the weight
-// store cannot load yet: after the loads in flight and after the loads of models
-// of higher worth.
+// store cannot load yet: after the loads in flight and after the loads of
+// models of higher worth.
 func TestPredictReady(t *testing.T) {
 	v := &Snapshot{
 		Now: now, Engine: engine(4), Targets: []Target{targetWith("a"), targetWith("b")},
@@ -92,15 +92,16 @@
 		StoreLoadsEndIn: []time.Duration{2 * time.Second}, FreeStoreLoads: 1,
 	}
 
-	round := Decide(v)
-	assert.Equal(t, round.Swaps[0].Load, "m1")
-	assert.DeepEqual(t, round.ReadyIn, map[string]time.Duration{"m2": 8 * time.Second, "m3": 12 * time.Second, "m0": 14 * time.Second})
+	decisions := Decide(v)
+	assert.Equal(t, decisions.Swaps[0].Load, "m1")
+	assert.DeepEqual(t, decisions.ReadyIn, map[string]time.Duration{"m2": 8 * time.Second, "m3": 12 * time.Second, "m0": 14 * time.Second})
 }
 
 // TestEarliestPromiseFirst checks that, of models of the same worth, the one
 // whose ready time was promised first is loaded first, even though no request
-// waits for it at the moment. If newer requests for other models went first each
-// time, clients that come back at the promised time would be refused again.
+// waits for it at the moment. If newer requests for other models went first
+// each time, clients that come back at the promised time would be refused
+// again.
 func TestEarliestPromiseFirst(t *testing.T) {
 	v := &Snapshot{
 		Now: now, Engine: engine(4), Targets: []Target{targetWith("a", "m3")}, FreeStoreLoads: 1, Demands: []Demand{waiting("m1"), waiting("m2")},
@@ -109,10 +110,10 @@
 		PromisedSince: map[string]time.Time{"m0": now.Add(-5 * time.Second)},
 	}
 
-	round := Decide(v)
-	assert.Equal(t, len(round.Swaps), 1)
-	assert.Equal(t, round.Swaps[0].Load, "m0")
-	assert.Equal(t, round.Swaps[0].Reason, ReasonWaiting)
+	decisions := Decide(v)
+	assert.Equal(t, len(decisions.Swaps), 1)
+	assert.Equal(t, decisions.Swaps[0].Load, "m0")
+	assert.Equal(t, decisions.Swaps[0].Reason, ReasonWaiting)
 }
 
 // mostWorth returns the maximum total worth of the given number of loads.
@@ -151,10 +152,10 @@
 
 		got := 0.0
 
-		for _, m := range Decide(v).Swaps {
-			assert.Equal(t, m.Tier, target.TierRemote)
+		for _, s := range Decide(v).Swaps {
+			assert.Equal(t, s.Tier, target.TierRemote)
 
-			got += max(v.Rate[m.Load], defaultRate)
+			got += max(v.Rate[s.Load], defaultRate)
 		}
 
 		// Models that no request waits for may be loaded first, but only if
--- a/internal/placement/swap/swap.go
+++ b/internal/placement/swap/swap.go
@@ -2,12 +2,12 @@
 // unloads to make room. Its decisions are pure functions of their input: the
 // package does no I/O and reads no clock.
 //
-// It is built for many rarely used models: within a few seconds, more models are
-// requested than fit into memory, each by one or two requests, and the weights
-// of every model are on the disks of a few targets. A load from disk takes one
-// or two seconds, which a client can wait for. A model is therefore loaded as
-// soon as a request waits for it, and the models that carry the fewest requests
-// are evicted.
+// It is built for many rarely used models: within a few seconds, more models
+// are requested than fit into memory, each by one or two requests, and the
+// weights of every model are on the disks of a few targets. A load from disk
+// takes one or two seconds, which a client can wait for. A model is therefore
+// loaded as soon as a request waits for it, and the models that carry the
+// fewest requests are evicted.
 package swap
 
 import (
@@ -33,8 +33,8 @@
 // Target is the lease holder's state of a target.
 type Target struct {
 	ID instance.ID
-	// AcceptsOrders reports that no order is in flight there and that the target accepts
-	// new ones.
+	// AcceptsOrders reports that no order is in flight there and that the target
+	// accepts new ones.
 	AcceptsOrders bool
 	// OrderEndsIn is the predicted time until the order in flight ends.
 	OrderEndsIn time.Duration
@@ -73,14 +73,15 @@
 	// LongTermRate is the same rate over a longer window, for loads whose benefit
 	// should last.
 	LongTermRate map[string]float64
-	// PromisedSince is, for each model that the weight store could not load yet, the
-	// time since which clients have been given a ready time.
+	// PromisedSince is, for each model that the weight store could not load yet,
+	// the time since which clients have been given a ready time.
 	PromisedSince map[string]time.Time
 	// LossRisk is the probability that a target is lost before its models have
 	// another replica.
 	LossRisk float64
 	// FreeStoreLoads is the number of loads from the weight store that may start
-	// now, and StoreEnds holds the predicted remaining times of those in flight.
+	// now, and StoreLoadsEndIn holds the predicted remaining times of those in
+	// flight.
 	FreeStoreLoads  int
 	StoreLoadsEndIn []time.Duration
 	// StoreSlowdown is the factor by which the loads in flight slow down another
@@ -132,19 +133,19 @@
 	swaps []Swap
 	// ordered are the targets that have a swap in this round.
 	ordered map[instance.ID]bool
-	// reserved is, for each target, the total load time of the models that wait
-	// for it.
+	// reserved is, for each target, the total load time of the models that this
+	// round has assigned to it but that it cannot load yet.
 	reserved map[instance.ID]time.Duration
 	demandOf map[string]Demand
-	// replicas is the number of serving targets that have the model or are
-	// loading it. nearby is the number of serving targets that have its weights
-	// in memory or on disk.
+	// replicas is the number of serving targets on which the model is loaded or
+	// loading. nearby also counts the serving targets that have its weights in
+	// host memory or on disk.
 	replicas, nearby map[string]int
 	// meanCached is the mean number of cached models per serving target.
 	meanCached float64
-	// contention holds, for each target, the waiting models without a replica
-	// whose weights are on its disk. Each is weighted by one over the number of
-	// targets that have the weights.
+	// contention holds, for each serving target that accepts orders, the waiting
+	// models without a replica whose weights the target has in host memory or on
+	// disk. Each is weighted by one over the number of such targets.
 	contention map[instance.ID][]contender
 	// usableMB is a target's memory without the part that is reserved for
 	// adapters.
@@ -157,14 +158,14 @@
 }
 
 // Decide decides which swaps to start now.
-func Decide(v *Snapshot) Decisions {
+func Decide(s *Snapshot) Decisions {
 	d := &decider{
-		Snapshot: v, ordered: make(map[instance.ID]bool), reserved: make(map[instance.ID]time.Duration), demandOf: make(map[string]Demand, len(v.Demands)),
-		replicas: make(map[string]int), nearby: make(map[string]int), usableMB: v.Engine.MemoryMB - adapterReserveMB(v.Engine), freeStoreLoads: v.FreeStoreLoads,
-		storeLoadsEndIn: slices.Clone(v.StoreLoadsEndIn), readyIn: make(map[string]time.Duration),
+		Snapshot: s, ordered: make(map[instance.ID]bool), reserved: make(map[instance.ID]time.Duration), demandOf: make(map[string]Demand, len(s.Demands)),
+		replicas: make(map[string]int), nearby: make(map[string]int), usableMB: s.Engine.MemoryMB - adapterReserveMB(s.Engine), freeStoreLoads: s.FreeStoreLoads,
+		storeLoadsEndIn: slices.Clone(s.StoreLoadsEndIn), readyIn: make(map[string]time.Duration),
 	}
 
-	for _, dem := range v.Demands {
+	for _, dem := range s.Demands {
 		d.demandOf[dem.Model] = dem
 	}
 
@@ -211,17 +212,17 @@
 }
 
 // add adds a swap to the round.
-func (d *decider) add(m Swap) {
-	if m.Tier == target.TierRemote {
+func (d *decider) add(s Swap) {
+	if s.Tier == target.TierRemote {
 		d.freeStoreLoads--
-		d.storeLoadsEndIn = append(d.storeLoadsEndIn, m.LoadTime)
+		d.storeLoadsEndIn = append(d.storeLoadsEndIn, s.LoadTime)
 	}
 
-	d.ordered[m.Target] = true
-	d.replicas[m.Load]++
-	d.swaps = append(d.swaps, m)
+	d.ordered[s.Target] = true
+	d.replicas[s.Load]++
+	d.swaps = append(d.swaps, s)
 
-	for _, model := range m.Unload {
+	for _, model := range s.Unload {
 		d.replicas[model]--
 	}
 }
@@ -239,10 +240,11 @@
 // an order is in flight there or its memory is in use, no load starts in this
 // round and the target's time is reserved.
 //
-// Waiting for such a target avoids loads from the weight store while the targets
-// that have the weights on disk are busy for a second. A load from the store
-// takes six seconds, during which its target accepts no other order, so a few of
-// them force the next models to be loaded from the store as well.
+// Waiting for such a target avoids loads from the weight store while the
+// targets that have the weights on disk are busy for a second. A load from the
+// store takes six seconds, during which its target accepts no other order.
+// After a few such loads, the targets that have the next models' weights on
+// disk are blocked, and these models must be loaded from the store as well.
 func (d *decider) place(m route.Model, dem Demand, reason Reason, limits evictionLimits) {
 	var best *candidate
 
@@ -275,17 +277,18 @@
 }
 
 // evictionWeight converts the eviction of a model into seconds of delay:
-// evicting the only replica of a model with one request per second costs as much
-// as two seconds of delay.
+// evicting the only replica of a model with one request per second costs as
+// much as two seconds of delay.
 const evictionWeight = 2.0
 
-// contentionWeight is the cost, in seconds of delay, of taking a target that is
-// the only one for another waiting model. It keeps a model that could be loaded
-// elsewhere off that target.
+// contentionWeight is the cost, in seconds of delay, of using a target that is
+// the only one with the weights of another waiting model; if n targets have
+// them, the cost is one n-th. It keeps a model that could be loaded elsewhere
+// off that target.
 const contentionWeight = 0.5
 
-// runningWeight is the cost, in seconds of delay, of each request that runs on a
-// target, because all requests of a batch share its steps.
+// runningWeight is the cost, in seconds of delay, of each request that runs on
+// a target, because all requests of a batch share its steps.
 const runningWeight = 0.02
 
 func (d *decider) consider(t *Target, m route.Model, dem Demand, reason Reason, limits evictionLimits) (candidate, bool) {
--- a/internal/placement/swap/swap_test.go
+++ b/internal/placement/swap/swap_test.go
@@ -29,7 +29,8 @@
 	return e
 }
 
-// targetWith returns a target that holds models, all last used a minute ago.
+// targetWith returns a target on which the models are loaded, all last used a
+// minute ago.
 func targetWith(id instance.ID, models ...string) Target {
 	t := Target{ID: id, AcceptsOrders: true, Serving: true, Cached: map[string]target.Tier{}}
 	for _, m := range models {
@@ -76,7 +77,7 @@
 		targets []Target
 		demands []Demand
 		rate    map[string]float64
-		// want is the swaps as target, load and unloads.
+		// want are the swaps as target, load and unloads.
 		want []string
 	}{
 		"from disk rather than from the store":                                       {[]Target{targetWith("a"), targetWith("b").withDisk("m3")}, []Demand{waiting("m3")}, nil, []string{"b m3 []"}},
@@ -115,11 +116,11 @@
 
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			moves := Decide(&Snapshot{Now: now, Engine: engine(6), Targets: c.targets, Demands: c.demands, Rate: c.rate, FreeStoreLoads: 1}).Swaps
+			swaps := Decide(&Snapshot{Now: now, Engine: engine(6), Targets: c.targets, Demands: c.demands, Rate: c.rate, FreeStoreLoads: 1}).Swaps
 
 			var got []string
-			for _, m := range moves {
-				got = append(got, fmt.Sprintf("%s %s %v", m.Target, m.Load, m.Unload))
+			for _, s := range swaps {
+				got = append(got, fmt.Sprintf("%s %s %v", s.Target, s.Load, s.Unload))
 			}
 
 			assert.DeepEqual(t, got, c.want)
@@ -130,9 +131,9 @@
 // TestOverloadedModel checks when a model is loaded from the weight store
 // although it has a replica. The busiest model is on one target, and no other
 // target has its weights on disk. While it is only crowded, it gets no further
-// replica, because a load from the store blocks a target for seconds. When it is
-// overloaded, it must get one, as long as the store has more loads free than
-// those reserved for urgent ones.
+// replica, because a load from the store blocks a target for seconds. When it
+// is overloaded, it must get one, as long as the store has more free loads than
+// reservedStoreLoads or the surplus of requests is worth highWorth or more.
 func TestOverloadedModel(t *testing.T) {
 	for name, c := range map[string]struct {
 		running, store int
@@ -147,18 +148,18 @@
 		"high rate, small surplus":          {overloadedAbove(engine(1)) + 1, reservedStoreLoads, 2 * highWorth, false},
 		"many requests, low recent rate":    {4 * overloadedAbove(engine(1)), reservedStoreLoads, highWorth / 2, false},
 	} {
-		moves := Decide(&Snapshot{
+		swaps := Decide(&Snapshot{
 			Now: now, Engine: engine(1), Targets: []Target{targetWith("a", "m0"), targetWith("b")}, Demands: []Demand{{Model: "m0", Running: c.running}}, FreeStoreLoads: c.store,
 			Rate: map[string]float64{"m0": c.rate},
 		}).Swaps
-		assert.Equal(t, len(moves) == 1, c.want, name)
+		assert.Equal(t, len(swaps) == 1, c.want, name)
 	}
 }
 
-// TestLoadAhead checks what is loaded without waiting requests: models without a
-// replica, into free memory, from disk, or from the store if no disk has them
-// and the store has more loads free than those reserved for urgent ones. Half of
-// the targets stay free.
+// TestLoadAhead checks what is loaded without waiting requests: models without
+// a replica, into free memory, from disk, or from the store if no disk has them
+// and the store has more free loads than reservedStoreLoads. Half of the
+// targets stay without an order.
 func TestLoadAhead(t *testing.T) {
 	cases := map[string]struct {
 		targets []Target
@@ -175,9 +176,9 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			var got []string
-			for _, m := range Decide(&Snapshot{Now: now, Engine: engine(6), Targets: c.targets, FreeStoreLoads: c.store}).Swaps {
-				got = append(got, fmt.Sprintf("%s %s %t", m.Target, m.Load, m.Tier == target.TierRemote))
-				assert.Equal(t, m.Reason, ReasonAhead)
+			for _, s := range Decide(&Snapshot{Now: now, Engine: engine(6), Targets: c.targets, FreeStoreLoads: c.store}).Swaps {
+				got = append(got, fmt.Sprintf("%s %s %t", s.Target, s.Load, s.Tier == target.TierRemote))
+				assert.Equal(t, s.Reason, ReasonAhead)
 			}
 
 			assert.DeepEqual(t, got, c.want)
@@ -186,9 +187,9 @@
 }
 
 // TestDecideInvariants checks the invariants of a round in random states: no
-// target gets more than fits or more than one swap, no model with demand is
-// evicted, no model is loaded where it is resident already, and the weight store
-// gets at most as many loads as it may start.
+// target gets more models than fit or more than one swap, no model with demand
+// is evicted, no model is loaded where it is resident already, and the weight
+// store gets at most as many loads as it may start.
 func TestDecideInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := engine(12)
@@ -202,8 +203,8 @@
 		v := &Snapshot{Now: now, Engine: e, Rate: map[string]float64{}, FreeStoreLoads: rapid.IntRange(0, 3).Draw(t, "store")}
 
 		for i := range rapid.IntRange(1, 6).Draw(t, "targets") {
-			held := rapid.SliceOfNDistinct(models, 0, 3, rapid.ID).Draw(t, "held")
-			one := targetWith(instance.ID(fmt.Sprintf("t%d", i)), held...).withDisk(rapid.SliceOfN(models, 0, 5).Draw(t, "disk")...)
+			resident := rapid.SliceOfNDistinct(models, 0, 3, rapid.ID).Draw(t, "held")
+			one := targetWith(instance.ID(fmt.Sprintf("t%d", i)), resident...).withDisk(rapid.SliceOfN(models, 0, 5).Draw(t, "disk")...)
 			one.AcceptsOrders = rapid.Bool().Draw(t, "free")
 
 			for j := range one.Models {
@@ -222,22 +223,22 @@
 		seen := make(map[instance.ID]bool)
 		store := 0
 
-		for _, m := range Decide(v).Swaps {
-			i := slices.IndexFunc(v.Targets, func(t Target) bool { return t.ID == m.Target })
+		for _, s := range Decide(v).Swaps {
+			i := slices.IndexFunc(v.Targets, func(t Target) bool { return t.ID == s.Target })
 			at := v.Targets[i]
 
-			assert.Assert(t, at.AcceptsOrders && !seen[m.Target])
-			seen[m.Target] = true
+			assert.Assert(t, at.AcceptsOrders && !seen[s.Target])
+			seen[s.Target] = true
 
-			assert.Assert(t, !holds(&at, m.Load))
-			assert.Assert(t, len(at.Models)-len(m.Unload)+1 <= 3)
+			assert.Assert(t, !holds(&at, s.Load))
+			assert.Assert(t, len(at.Models)-len(s.Unload)+1 <= 3)
 
-			for _, u := range m.Unload {
+			for _, u := range s.Unload {
 				assert.Assert(t, holds(&at, u))
 				assert.Assert(t, !slices.ContainsFunc(v.Demands, func(w Demand) bool { return w.Model == u }))
 			}
 
-			if m.Tier == target.TierRemote {
+			if s.Tier == target.TierRemote {
 				store++
 			}
 		}
@@ -252,9 +253,9 @@
 	inUse := []LoadedAdapter{{Name: "m/a", Running: 1}, {Name: "m/b", LastUsed: now}}
 
 	cases := map[string]struct {
-		sites []AdapterTarget
-		want  AdapterSwap
-		ok    bool
+		targets []AdapterTarget
+		want    AdapterSwap
+		ok      bool
 	}{
 		"free slot":                                    {[]AdapterTarget{{ID: "a", Adapters: full}, {ID: "b", Running: 9}}, AdapterSwap{Target: "b"}, true},
 		"target with fewer running requests":           {[]AdapterTarget{{ID: "a", Running: 2}, {ID: "b", Running: 1}}, AdapterSwap{Target: "b"}, true},
@@ -265,7 +266,7 @@
 
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			got, ok := PlaceAdapter(c.sites, 2, now)
+			got, ok := PlaceAdapter(c.targets, 2, now)
 			assert.Equal(t, ok, c.ok)
 			assert.Equal(t, got, c.want)
 		})
@@ -273,8 +274,8 @@
 }
 
 // BenchmarkDecide runs rounds in which requests wait for a tenth of the models.
-// The limit is 2 ms for 12 targets and 65 models and 10 ms for 94 targets and
-// 500 models; a round takes about 0.17 ms and 4.4 ms there.
+// A round may take at most 2 ms for 12 targets and 65 models, and 10 ms for 94
+// targets and 500 models. It takes about 0.17 ms and 4.4 ms.
 func BenchmarkDecide(b *testing.B) {
 	for _, size := range []struct{ targets, models int }{{12, 65}, {18, 101}, {60, 195}, {94, 500}, {140, 431}, {1000, 4000}} {
 		b.Run(fmt.Sprintf("%dx%d", size.targets, size.models), func(b *testing.B) {
--- a/internal/placement/swap/urgency.go
+++ b/internal/placement/swap/urgency.go
@@ -8,8 +8,8 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// contender is a model that needs a target, weighted by one over the number of
-// targets that have its weights.
+// contender is a waiting model that could be loaded on a target, weighted by
+// one over the number of targets that have its weights.
 type contender struct {
 	model  string
 	weight float64
@@ -52,13 +52,14 @@
 	return sum
 }
 
-// byUrgency sorts the demand: models without a replica before crowded ones, then
-// those that are due now before those that can wait, each by due time.
+// byUrgency sorts the demand: models without a replica before those with one,
+// then those whose goal can still be met or whose deadline is near before those
+// that can wait, and each group by goal or deadline (see dueAt).
 //
 // It handles bursts for rarely used models, in which more loads are needed than
 // targets can accept. An order by deadline alone would serve the requests that
-// have waited longest first, and nearly all would start late. A request that has
-// already missed its goal can wait until its deadline is near.
+// have waited longest first, and nearly all would start late. A request that
+// has already missed its goal can wait until its deadline is near.
 func (d *decider) byUrgency() []Demand {
 	sorted := slices.Clone(d.Demands)
 	slices.SortStableFunc(sorted, func(a, b Demand) int {
@@ -77,10 +78,12 @@
 }
 
 // urgentBefore is how long before its deadline a request that has missed its
-// goal counts as due again.
+// goal can no longer wait.
 const urgentBefore = 1500 * time.Millisecond
 
-// dueAt returns when a demand is due, and 1 if it can wait for others, else 0.
+// dueAt returns the goal of a demand if a load from disk can still meet it,
+// else the deadline. It also returns 1 if the demand can wait for others,
+// because its goal is missed and its deadline is not near, else 0.
 func (d *decider) dueAt(dem *Demand) (time.Time, int) {
 	if !dem.Goal.IsZero() && d.Now.Add(d.Engine.Models[dem.Model].FromDisk).Before(dem.Goal) {
 		return dem.Goal, 0
