--- a/internal/serving/gateway/counts.go
+++ b/internal/serving/gateway/counts.go
@@ -11,46 +11,49 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/request"
 )
 
-// Counts counts answers and refusals by plan. The zero value is ready to use.
-type Counts struct{ plans sync.Map }
+// planTotals counts answers, tokens and refusals by plan. The zero value is
+// ready to use.
+type planTotals struct{ plans sync.Map }
 
-// planCount holds the counts of one plan.
-type planCount struct {
+// planTotal holds the totals of one plan.
+type planTotal struct {
 	answered atomic.Int64
 	tokens   atomic.Int64
 	refused  sync.Map // refused maps a request.Code to its *atomic.Int64.
 }
 
-func (c *Counts) of(name string) *planCount {
-	if got, ok := c.plans.Load(name); ok {
-		return got.(*planCount) //nolint:forcetypeassert // The map holds nothing else.
+func (t *planTotals) of(name string) *planTotal {
+	if got, ok := t.plans.Load(name); ok {
+		return got.(*planTotal) //nolint:forcetypeassert // The map holds nothing else.
 	}
 
-	got, _ := c.plans.LoadOrStore(name, &planCount{})
+	got, _ := t.plans.LoadOrStore(name, &planTotal{})
 
-	return got.(*planCount) //nolint:forcetypeassert // The map holds nothing else.
+	return got.(*planTotal) //nolint:forcetypeassert // The map holds nothing else.
 }
 
-func (c *Counts) answered(name string, tokens int) {
-	p := c.of(name)
+func (t *planTotals) answered(name string, tokens int) {
+	p := t.of(name)
 	p.answered.Add(1)
 	p.tokens.Add(int64(tokens))
 }
 
 // refused counts a refusal. Requests without a plan are counted under "".
-func (c *Counts) refused(name string, code request.Code) {
-	n, _ := c.of(name).refused.LoadOrStore(code, &atomic.Int64{})
+func (t *planTotals) refused(name string, code request.Code) {
+	n, _ := t.of(name).refused.LoadOrStore(code, &atomic.Int64{})
 	n.(*atomic.Int64).Add(1) //nolint:forcetypeassert // The map holds nothing else.
 }
 
-func (c *Counts) planCounts(shares *limit.Shares, waiting map[string]int) []peer.PlanCount {
+// snapshot returns the totals of each plan, with the numbers of its running and
+// queued requests.
+func (t *planTotals) snapshot(shares *limit.Shares, waiting map[string]int) []peer.PlanCount {
 	var out []peer.PlanCount
 
-	c.plans.Range(func(key, value any) bool {
+	t.plans.Range(func(key, value any) bool {
 		name, _ := key.(string)
-		p, _ := value.(*planCount)
+		p, _ := value.(*planTotal)
 
-		line := peer.PlanCount{
+		count := peer.PlanCount{
 			Plan:     name,
 			Running:  shares.Of(name).Running(),
 			Waiting:  waiting[name],
@@ -62,12 +65,12 @@
 		p.refused.Range(func(key, value any) bool {
 			code, _ := key.(request.Code)
 			n, _ := value.(*atomic.Int64)
-			line.Refused[code] = n.Load()
+			count.Refused[code] = n.Load()
 
 			return true
 		})
 
-		out = append(out, line)
+		out = append(out, count)
 
 		return true
 	})
--- a/internal/serving/gateway/gateway.go
+++ b/internal/serving/gateway/gateway.go
@@ -37,11 +37,12 @@
 	Fleet    *peer.Set
 	Log      *timeline.Log
 	Metrics  tally.Scope
-	MaxBody  int64
+	// MaxBody limits the size of a request's body, in bytes.
+	MaxBody int64
 	// Draining reports whether the entry is shutting down.
 	Draining func() bool
-	// ClaimAbandoned reports whether the process that took a claim can no longer be
-	// running the call.
+	// ClaimAbandoned reports whether the process that acquired a claim can no longer
+	// be running the call.
 	ClaimAbandoned func(p claim.Pending) bool
 }
 
@@ -49,14 +50,17 @@
 type Gateway struct {
 	cfg    Config
 	mux    *http.ServeMux
-	counts Counts
-	// running maps the engine id of a request in flight to its *runningRequest.
-	running    sync.Map
-	callCounts callCounts
+	totals planTotals
+	// admitted maps an id to the *admittedRequest of each request that has not
+	// been answered yet: the engine id of a request for a model, a random id
+	// for a service call.
+	admitted    sync.Map
+	targetLoads targetLoads
 }
 
-// runningRequest is an admitted request in flight.
-type runningRequest struct {
+// admittedRequest is an admitted request that has not been answered yet; it may
+// be queued.
+type admittedRequest struct {
 	plan   plan.Plan
 	model  string
 	cancel context.CancelCauseFunc
@@ -81,9 +85,10 @@
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) { g.mux.ServeHTTP(w, r) }
 
-// Counts returns the counts of each plan.
+// Counts returns the counts of each plan: answers, tokens and refusals, and the
+// requests that run or are queued now.
 func (g *Gateway) Counts() []peer.PlanCount {
-	return g.counts.planCounts(g.cfg.Shares, g.cfg.Dispatch.QueuedByPlan())
+	return g.totals.snapshot(g.cfg.Shares, g.cfg.Dispatch.QueuedByPlan())
 }
 
 const (
@@ -94,8 +99,9 @@
 	maxTimeout      = 10 * time.Minute
 )
 
-// call is an HTTP request in the gateway.
-type call struct {
+// clientRequest is a client's HTTP request, for a model or a service, while the
+// gateway handles it.
+type clientRequest struct {
 	w        http.ResponseWriter
 	r        *http.Request
 	id       string
@@ -106,8 +112,8 @@
 
 // begin authenticates the client and determines the deadline. If the request is
 // refused, begin writes the refusal and returns nil.
-func (g *Gateway) begin(w http.ResponseWriter, r *http.Request) *call {
-	c := &call{w: w, r: r, id: requestID(r), arrived: time.Now()}
+func (g *Gateway) begin(w http.ResponseWriter, r *http.Request) *clientRequest {
+	c := &clientRequest{w: w, r: r, id: requestID(r), arrived: time.Now()}
 	w.Header().Set(requestIDHeader, c.id)
 
 	k, err := key.FromHeader(r.Header["Authorization"])
@@ -177,8 +183,8 @@
 }
 
 // refuse writes a refusal as the whole answer.
-func (g *Gateway) refuse(c *call, r *request.Refusal) {
-	g.counts.refused(c.plan.Name, r.Code)
+func (g *Gateway) refuse(c *clientRequest, r *request.Refusal) {
+	g.totals.refused(c.plan.Name, r.Code)
 	g.cfg.Metrics.Tagged(map[string]string{"code": string(r.Code), "run": string(r.Run)}).Counter("refused").Inc(1)
 
 	h := c.w.Header()
@@ -195,7 +201,7 @@
 
 // readBody reads a body of limited size. If the body is too large or
 // incomplete, readBody writes the refusal and returns false.
-func (g *Gateway) readBody(c *call) ([]byte, bool) {
+func (g *Gateway) readBody(c *clientRequest) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, g.cfg.MaxBody))
 	if err == nil {
 		return body, true
@@ -204,7 +210,7 @@
 	if tooLarge, ok := errors.AsType[*http.MaxBytesError](err); ok {
 		g.refuse(c, request.Refuse(request.TooLarge, 0, fmt.Sprintf("the body is larger than %d bytes", tooLarge.Limit)))
 	} else {
-		g.refuse(c, request.Refuse(request.BadRequest, 0, "the body is incomplete: "+err.Error()))
+		g.refuse(c, request.Refuse(request.BadRequest, 0, "the body was broken off: "+err.Error()))
 	}
 
 	return nil, false
@@ -212,7 +218,7 @@
 
 // admit charges the request to its plan's limits. If they refuse it, admit
 // writes the refusal and returns false.
-func (g *Gateway) admit(c *call) bool {
+func (g *Gateway) admit(c *clientRequest) bool {
 	retryAfter, ok := g.cfg.Shares.Admit(c.r.Context(), c.plan)
 	if !ok {
 		g.refuse(c, request.Refuse(request.Limited, retryAfter, "the plan's limit is used up"))
@@ -221,20 +227,21 @@
 	return ok
 }
 
-// track registers the request as in flight, so that a change of the lists can
-// cancel it.
-func (g *Gateway) track(c *call, id, model string) (context.Context, func()) {
+// track registers an admitted request, so that a change of the lists can cancel
+// the returned context. The returned function ends that.
+func (g *Gateway) track(c *clientRequest, id, model string) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(c.r.Context())
-	g.running.Store(id, &runningRequest{plan: c.plan, model: model, cancel: cancel})
+	g.admitted.Store(id, &admittedRequest{plan: c.plan, model: model, cancel: cancel})
 
 	return ctx, func() {
-		g.running.Delete(id)
+		g.admitted.Delete(id)
 		cancel(nil)
 	}
 }
 
-// EnforceLists refuses queued requests that the lists do not allow after the
-// change, and cancels running ones of removed plans if the plan's rule says so.
+// EnforceLists is called after the lists have changed. It refuses queued
+// requests that the lists no longer allow, and cancels the admitted requests of
+// each removed plan whose OnRemoval is CancelRunning.
 func (g *Gateway) EnforceLists() {
 	lists := g.cfg.Lists.Current()
 
@@ -250,8 +257,8 @@
 		return nil
 	})
 
-	g.running.Range(func(_, value any) bool {
-		a, _ := value.(*runningRequest)
+	g.admitted.Range(func(_, value any) bool {
+		a, _ := value.(*admittedRequest)
 		if _, ok := lists.Plan(a.plan.Name); !ok && a.plan.OnRemoval == plan.CancelRunning {
 			a.cancel(request.Refuse(request.PlanRemoved, 0, "the plan was removed from the list"))
 		}
@@ -260,11 +267,12 @@
 	})
 }
 
-// Running returns the number of requests in flight.
+// Running returns the number of admitted requests that have not been answered
+// yet, including queued ones.
 func (g *Gateway) Running() int {
 	n := 0
 
-	g.running.Range(func(any, any) bool {
+	g.admitted.Range(func(any, any) bool {
 		n++
 
 		return true
--- a/internal/serving/gateway/generate.go
+++ b/internal/serving/gateway/generate.go
@@ -58,7 +58,7 @@
 	g.cfg.Shares.Of(c.plan.Name).Done(res.Tokens)
 
 	if err == nil {
-		g.counts.answered(c.plan.Name, res.Tokens)
+		g.totals.answered(c.plan.Name, res.Tokens)
 		g.cfg.Metrics.Counter("answered").Inc(1)
 		g.cfg.Metrics.Counter("tokens").Inc(int64(res.Tokens))
 		g.cfg.Metrics.Timer("firstToken").Record(res.FirstToken)
@@ -70,7 +70,7 @@
 }
 
 // run dispatches the request and writes its answer or refusal.
-func (g *Gateway) run(c *call, msg caller.Call) (dispatch.Result, error) {
+func (g *Gateway) run(c *clientRequest, msg caller.Call) (dispatch.Result, error) {
 	req := &request.Request{
 		ID:        c.id,
 		EngineID:  uuid.NewString(),
@@ -105,14 +105,15 @@
 	return res, err
 }
 
-// fail writes the reason why there is no complete answer.
-func (g *Gateway) fail(ctx context.Context, c *call, out responder, err error) {
+// fail writes the refusal of a request without a complete answer, unless the
+// client has left.
+func (g *Gateway) fail(ctx context.Context, c *clientRequest, out responder, err error) {
 	var refusal *request.Refusal
 
 	switch {
 	case errors.As(context.Cause(ctx), &refusal):
-		// A change of the lists cancelled the running request. It was sent, so
-		// the refusal must not say that it did not run.
+		// A change of the lists cancelled the request. It may have been sent
+		// already, so the refusal must not say that it did not run.
 		removed := *refusal
 		removed.Run = request.MayHaveRun
 		refusal = &removed
@@ -128,21 +129,21 @@
 		return
 	}
 
-	g.counts.refused(c.plan.Name, refusal.Code)
+	g.totals.refused(c.plan.Name, refusal.Code)
 }
 
 // responder writes an answer.
 type responder interface {
 	dispatch.Sink
 	finish(res dispatch.Result) error
-	// refuseLate writes the refusal after part of the answer. It returns false
-	// if nothing was written yet.
+	// refuseLate writes the refusal after part of the answer. If nothing of the
+	// answer was written yet, it writes nothing and returns false.
 	refuseLate(r *request.Refusal) bool
 }
 
-// wholeResponder buffers the answer and writes it at its end.
+// wholeResponder buffers the answer and writes it once it is complete.
 type wholeResponder struct {
-	c      *call
+	c      *clientRequest
 	answer *caller.Answer
 	prompt string
 	text   strings.Builder
@@ -169,12 +170,12 @@
 
 func (o *wholeResponder) refuseLate(*request.Refusal) bool { return false }
 
-// eventWriteTimeout is how long a client may take to read one token.
+// eventWriteTimeout limits how long writing one event to the client may take.
 const eventWriteTimeout = 10 * time.Second
 
 // streamResponder writes each token as a server-sent event.
 type streamResponder struct {
-	c       *call
+	c       *clientRequest
 	answer  *caller.Answer
 	control *http.ResponseController
 	buf     []byte
@@ -222,7 +223,7 @@
 	return o.write()
 }
 
-// refuseLate ends the stream with the refusal in place of the end mark, so that
+// refuseLate ends the stream with the refusal instead of its end marker, so that
 // a truncated answer cannot be taken for a complete one.
 func (o *streamResponder) refuseLate(r *request.Refusal) bool {
 	if !o.started {
--- a/internal/serving/gateway/service.go
+++ b/internal/serving/gateway/service.go
@@ -22,21 +22,22 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/request"
 )
 
-// callCounts counts the calls in flight on each service target.
-type callCounts struct{ running sync.Map }
+// targetLoads counts the calls in flight on each service target.
+type targetLoads struct{ inFlight sync.Map }
 
-func (c *callCounts) of(id instance.ID) *atomic.Int64 {
-	n, _ := c.running.LoadOrStore(id, &atomic.Int64{})
+func (l *targetLoads) of(id instance.ID) *atomic.Int64 {
+	n, _ := l.inFlight.LoadOrStore(id, &atomic.Int64{})
 
 	return n.(*atomic.Int64) //nolint:forcetypeassert // The map holds nothing else.
 }
 
-// choose returns the target with fewer calls in flight of two random ones.
-func (c *callCounts) choose(targets []instance.Instance) instance.Instance {
+// choose picks two targets at random and returns the one with fewer calls in
+// flight.
+func (l *targetLoads) choose(targets []instance.Instance) instance.Instance {
 	a := targets[rand.IntN(len(targets))] //nolint:gosec // Not a secret.
 	b := targets[rand.IntN(len(targets))] //nolint:gosec // Not a secret.
 
-	if c.of(b.ID).Load() < c.of(a.ID).Load() {
+	if l.of(b.ID).Load() < l.of(a.ID).Load() {
 		return b
 	}
 
@@ -45,12 +46,12 @@
 
 // serviceCall is a call to a plain service.
 type serviceCall struct {
-	*call
+	*clientRequest
 
-	service string
-	path    string
-	body    []byte
-	trail   request.AttemptLog
+	service    string
+	path       string
+	body       []byte
+	attemptLog request.AttemptLog
 }
 
 func (g *Gateway) serveService(w http.ResponseWriter, r *http.Request) {
@@ -59,7 +60,7 @@
 		return
 	}
 
-	s := &serviceCall{call: c, service: r.PathValue("service"), path: "/" + r.PathValue("path")}
+	s := &serviceCall{clientRequest: c, service: r.PathValue("service"), path: "/" + r.PathValue("path")}
 	if r.URL.RawQuery != "" {
 		s.path += "?" + r.URL.RawQuery
 	}
@@ -98,7 +99,7 @@
 }
 
 // retryable reports whether a call with this method may be retried. These are
-// the methods that HTTP defines as safe.
+// methods that HTTP defines as safe.
 func retryable(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
@@ -129,19 +130,22 @@
 		}
 	}
 
-	g.refuse(s.call, s.refusal(ctx, lastErr))
+	g.refuse(s.clientRequest, s.refusal(ctx, lastErr))
 }
 
-// refusal returns the refusal for err, which states no more than is proved.
+// refusal returns the refusal of the call for err. It states whether the call ran
+// only as far as the attempts prove it.
 func (s *serviceCall) refusal(ctx context.Context, err error) *request.Refusal {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return s.trail.Refuse(request.DeadlinePassed, time.Second, "the service did not answer in time")
+		return s.attemptLog.Refuse(request.DeadlinePassed, time.Second, "the service did not answer in time")
 	}
 
-	return s.trail.Refuse(request.TargetFailed, time.Second, "service "+s.service+": "+err.Error())
+	return s.attemptLog.Refuse(request.TargetFailed, time.Second, "service "+s.service+": "+err.Error())
 }
 
-// callOnce claims the call and sends it at most once.
+// callOnce claims the idempotency key and, if it acquires the claim, sends the
+// call at most once. If the key is already claimed, it writes the stored answer,
+// waits for it, or refuses the call.
 func (g *Gateway) callOnce(ctx context.Context, s *serviceCall, idempotencyKey string) {
 	key := claim.Key(s.plan.Customer, idempotencyKey)
 	digest := claim.Digest(s.r.Method, s.r.URL.Path, s.body)
@@ -159,23 +163,23 @@
 
 			return
 		case claim.KeyReused:
-			g.refuse(s.call, request.Refuse(request.KeyConflict, 0, "the key was used with another request"))
+			g.refuse(s.clientRequest, request.Refuse(request.KeyConflict, 0, "the key was used with another request"))
 
 			return
 		case claim.Doubtful:
-			g.refuse(s.call, inDoubt(0))
+			g.refuse(s.clientRequest, inDoubt(0))
 
 			return
 		case claim.Pending:
 			if g.cfg.ClaimAbandoned(o) {
-				g.refuse(s.call, inDoubt(0))
+				g.refuse(s.clientRequest, inDoubt(0))
 
 				return
 			}
 
 			if !waitForClaim(ctx, polls) {
 				if !errors.Is(ctx.Err(), context.Canceled) {
-					g.refuse(s.call, inDoubt(time.Second))
+					g.refuse(s.clientRequest, inDoubt(time.Second))
 				}
 
 				return
@@ -188,11 +192,13 @@
 		}
 	}
 
-	// Without a confirmed claim, this entry sent nothing for this call.
-	g.refuse(s.call, request.Refuse(request.StoreDown, time.Second, "the claim cannot be written: "+err.Error()))
+	// This entry sent nothing for this call: either its claim was not
+	// confirmed, or the key is already claimed and its claim or stored answer
+	// cannot be read.
+	g.refuse(s.clientRequest, request.Refuse(request.StoreDown, time.Second, "the claim cannot be written: "+err.Error()))
 }
 
-// inDoubt refuses a retry of a call that was sent and may have run.
+// inDoubt refuses a retry of a call whose outcome is unknown: it may have run.
 func inDoubt(retryAfter time.Duration) *request.Refusal {
 	return &request.Refusal{
 		Code: request.InDoubt, Run: request.MayHaveRun, RetryAfter: retryAfter,
@@ -200,20 +206,22 @@
 	}
 }
 
-// waitForClaim waits before a pending claim is read again, longer each time. It
-// returns false if the call's time is up.
+// waitForClaim waits before a pending claim is read again: 25 ms, then twice as
+// long each time, up to 800 ms. It returns false if ctx ends first.
 func waitForClaim(ctx context.Context, polls int) bool {
 	const base, maxDoublings = 25 * time.Millisecond, 5
 
 	return clock.Sleep(ctx, base<<min(polls, maxDoublings)) == nil
 }
 
-// storeTimeout limits how long storing an answer is retried after the client
-// received it.
+// storeTimeout limits how long recording the outcome of a call in the store is
+// retried: its answer, the withdrawal of its claim, or that it is in doubt. The
+// client may have been answered by then.
 const storeTimeout = 2 * time.Minute
 
-// sendOnce sends a claimed call. It tries another target if one was not
-// reached; once the first byte was sent, it never sends the call again.
+// sendOnce sends a claimed call. If the chosen target was not reached, it chooses
+// again, up to maxServiceAttempts times; once the first byte was sent, it never
+// sends the call again.
 func (g *Gateway) sendOnce(ctx context.Context, s *serviceCall, c *claim.Claim) {
 	g.cfg.Log.Add(timeline.Event{Kind: timeline.Claimed, Request: s.id, Customer: s.plan.Customer, Detail: s.service})
 
@@ -228,7 +236,7 @@
 		}
 
 		a, lastErr = g.send(ctx, s)
-		if lastErr == nil || s.trail.Run() != request.NotRun {
+		if lastErr == nil || s.attemptLog.Run() != request.NotRun {
 			break
 		}
 	}
@@ -238,17 +246,17 @@
 
 	switch {
 	case lastErr == nil:
-		// The answer is stored before the client receives it, if the store is
-		// available, so that a retry finds it.
+		// If the store is available, the answer is stored before the client
+		// receives it, so that a retry finds it.
 		g.storeThenWrite(store, cancel, s, c, a)
-	case s.trail.Run() == request.NotRun:
+	case s.attemptLog.Run() == request.NotRun:
 		defer cancel()
 
 		if err := g.withdraw(store, c); err != nil {
 			g.cfg.Metrics.Counter("claimsNotWithdrawn").Inc(1)
 		}
 
-		g.refuse(s.call, s.refusal(ctx, lastErr))
+		g.refuse(s.clientRequest, s.refusal(ctx, lastErr))
 	default:
 		go func() {
 			defer cancel()
@@ -256,12 +264,12 @@
 			_ = g.cfg.Claims.MarkInDoubt(store, c)
 		}()
 
-		g.refuse(s.call, s.refusal(ctx, lastErr))
+		g.refuse(s.clientRequest, s.refusal(ctx, lastErr))
 	}
 }
 
-// withdraw withdraws a claim. If the store is slow, it goes on in the
-// background.
+// withdraw withdraws a claim. If that takes longer than storeWait, withdraw
+// returns nil and the withdrawal continues in the background.
 func (g *Gateway) withdraw(ctx context.Context, c *claim.Claim) error {
 	done := make(chan error, 1)
 
@@ -275,11 +283,14 @@
 	}
 }
 
-// storeWait is how long a client waits for its answer to be stored. If the
-// store is unavailable for longer, the client gets the answer and storing it
-// continues; a retry then waits, or is answered that the call may have run.
+// storeWait is how long a client waits while its answer is stored or its claim is
+// withdrawn. If the store is unavailable for longer, the client gets its answer
+// and the write continues. A retry that comes before the write is done waits, or
+// is refused because the call may have run.
 const storeWait = 500 * time.Millisecond
 
+// storeThenWrite stores the answer, waits up to storeWait for that, and writes
+// the answer to the client.
 func (g *Gateway) storeThenWrite(
 	ctx context.Context, cancel context.CancelFunc, s *serviceCall, c *claim.Claim, a claim.Answer,
 ) {
@@ -310,7 +321,7 @@
 	s.w.WriteHeader(a.Status)
 	_, _ = s.w.Write(a.Body)
 
-	g.counts.answered(s.plan.Name, 0)
+	g.totals.answered(s.plan.Name, 0)
 }
 
 // noTargetError reports that the service has no live target.
@@ -318,32 +329,32 @@
 
 func (e *noTargetError) Error() string { return "no live target of service " + e.service }
 
-// maxAnswer limits the size of a service's answer.
+// maxAnswer limits the size of a service's answer, in bytes.
 const maxAnswer = 8 << 20
 
 // send sends the call to one target, on a connection dialled for this call
 // alone.
 //
-// A reused connection has two faults. The other end may close it just as the
-// call is sent, and the HTTP library, which retries only on reused connections,
-// would then send the call a second time. It may also have broken without a
-// reset. Neither can happen on a connection that was just established.
+// A reused connection could fail in two ways. The other end may close it just as
+// the call is sent, and the HTTP library, which retries only on reused
+// connections, would then send the call a second time. It may also have broken
+// without a reset. Neither can happen on a connection that was just established.
 func (g *Gateway) send(ctx context.Context, s *serviceCall) (claim.Answer, error) {
 	targets := g.liveTargets(s.service)
 	if len(targets) == 0 {
 		return claim.Answer{}, &noTargetError{s.service}
 	}
 
-	t := g.callCounts.choose(targets)
-	n := g.callCounts.of(t.ID)
+	t := g.targetLoads.choose(targets)
+	n := g.targetLoads.of(t.ID)
 
 	n.Add(1)
 	defer n.Add(-1)
 
 	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", t.Address.String())
 	if err != nil {
-		attempt := s.trail.Begin()
-		s.trail.Record(attempt, request.NotReached)
+		attempt := s.attemptLog.Begin()
+		s.attemptLog.Record(attempt, request.NotReached)
 
 		return claim.Answer{}, err
 	}
@@ -383,7 +394,7 @@
 
 	g.cfg.Log.Add(timeline.Event{Kind: timeline.Sent, Request: s.id, Target: t.ID, Customer: s.plan.Customer, Detail: s.service})
 
-	attempt := s.trail.Begin()
+	attempt := s.attemptLog.Begin()
 
 	resp, err := tr.RoundTrip(req)
 	if err != nil {
@@ -391,7 +402,7 @@
 	}
 	defer resp.Body.Close()
 
-	s.trail.Record(attempt, request.Begun)
+	s.attemptLog.Record(attempt, request.Begun)
 
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
 	if err != nil {
@@ -402,7 +413,7 @@
 		return claim.Answer{}, &answerTooLargeError{}
 	}
 
-	s.trail.Record(attempt, request.Completed)
+	s.attemptLog.Record(attempt, request.Completed)
 
 	return claim.Answer{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
 }
--- a/internal/serving/relay/budget.go
+++ b/internal/serving/relay/budget.go
@@ -14,39 +14,42 @@
 	Window time.Duration
 }
 
-// usableShare is the part of the limit that is used. The rest covers requests
-// that are counted on one side of a window's boundary and retried on the other.
-const usableShare = 0.85
+// usableFraction is the fraction of the limit that is used. The rest covers
+// requests that are counted on one side of a window's boundary and retried on the
+// other.
+const usableFraction = 0.85
 
-// RetryBudgets holds a retry budget for each service. Set the limit before use.
+// RetryBudgets holds a retry budget for each service. Set Limit and call
+// SetEntries before use.
 //
 // RetryBudgets prevents a retry storm when many targets fail at once. Each entry has
 // an equal share of the burst and adds to its budget with its own requests, so
 // the entries together stay within the limit without coordination.
 type RetryBudgets struct {
 	Limit RetryLimit
-	// Started is when this process started; zero means long ago. The budgets of
-	// a new process start empty, because the previous process on its instance
-	// may have spent the whole budget just before it ended.
+	// Started is when this process started. If it is set, the budgets start
+	// empty, because the previous process on its instance may have spent the
+	// whole budget just before it ended. If it is zero, they start full.
 	Started time.Time
 
-	mu      sync.Mutex
-	share   float64
-	buckets map[string]*bucket
+	mu sync.Mutex
+	// entryShare is the fraction of the burst that this entry may use.
+	entryShare float64
+	buckets    map[string]*bucket
 }
 
-// bucket is a token bucket; a token pays for one retry.
+// bucket is a token bucket; each token allows one retry.
 type bucket struct {
 	tokens  float64
 	updated time.Time
 }
 
 // SetLimit replaces the limit after a change of the settings.
-func (b *RetryBudgets) SetLimit(a RetryLimit) {
+func (b *RetryBudgets) SetLimit(limit RetryLimit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	b.Limit = a
+	b.Limit = limit
 }
 
 // SetEntries sets the number of entries that share the burst.
@@ -54,22 +57,22 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	b.share = 1 / float64(max(1, entries))
+	b.entryShare = 1 / float64(max(1, entries))
 }
 
-// Deposit adds the share of a retry that a request's first attempt earns for
-// its service.
-func (b *RetryBudgets) Deposit(service string, now time.Time) {
+// Credit credits the service's bucket for the first attempt of a request: with
+// Limit.Ratio, reduced by usableFraction.
+func (b *RetryBudgets) Credit(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
 	bk := b.bucket(service, now)
-	bk.tokens = min(bk.tokens+b.Limit.Ratio*usableShare, b.capacity())
+	bk.tokens = min(bk.tokens+b.Limit.Ratio*usableFraction, b.capacity())
 }
 
-// TryWithdraw reports whether a request to the service may be retried, and
+// TryDebit reports whether a request to the service may be retried, and
 // debits one token if so.
-func (b *RetryBudgets) TryWithdraw(service string, now time.Time) bool {
+func (b *RetryBudgets) TryDebit(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
@@ -83,13 +86,14 @@
 	return true
 }
 
-// halfBurst is half of this entry's share of the burst. A bucket holds that
-// much and is refilled with as much in each window, so that no window sees more
-// than the whole share.
-func (b *RetryBudgets) halfBurst() float64 { return b.Limit.Burst * usableShare * b.share / 2 } //nolint:mnd // Half of the share.
+// halfBurst is half of this entry's share of the burst: the capacity of a bucket
+// (but at least one token, see capacity) and the amount that refills it in each
+// window. A full bucket and its refill together give at most the whole share in
+// any window.
+func (b *RetryBudgets) halfBurst() float64 { return b.Limit.Burst * usableFraction * b.entryShare / 2 } //nolint:mnd // Half of the share.
 
-// capacity is what a bucket holds: at least one token, since a smaller bucket
-// would never allow a retry.
+// capacity is the most that a bucket holds: at least one token, since a smaller
+// bucket would never allow a retry.
 func (b *RetryBudgets) capacity() float64 { return max(1, b.halfBurst()) }
 
 // bucket returns the service's bucket, refilled for the time since its last
--- a/internal/serving/relay/budget_test.go
+++ b/internal/serving/relay/budget_test.go
@@ -11,8 +11,9 @@
 // TestBudgetsKeepTheBound checks that the retries of all entries together stay
 // within the operators' limit in every window, when targets fail in large
 // numbers and every entry retries as much as its budget allows. Entries also
-// crash and restart meanwhile: when 83 of them restarted at once with full
-// budgets, they made 684 retries in a window that allowed 649.
+// crash and restart meanwhile, and start with empty budgets then: with full
+// budgets, 83 entries that restarted at once made 684 retries in a window that
+// allowed 649.
 func TestBudgetsKeepTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
@@ -28,7 +29,7 @@
 			all[i].SetEntries(entries)
 		}
 
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 
 		now := time.Unix(0, 0)
 
@@ -41,31 +42,32 @@
 				b.SetEntries(entries)
 			}
 
-			b.Deposit("s", now)
+			b.Credit("s", now)
 
 			requests = append(requests, now)
 
-			for b.TryWithdraw("s", now) {
-				repeats = append(repeats, now)
+			for b.TryDebit("s", now) {
+				retries = append(retries, now)
 			}
 		}
 
-		for i, from := range repeats {
+		for i, from := range retries {
 			n := 0
-			for n < len(repeats)-i && repeats[i+n].Sub(from) < window {
+			for n < len(retries)-i && retries[i+n].Sub(from) < window {
 				n++
 			}
 
-			// Counts the requests of the window and the one before it.
-			asked := 0
+			// The limit counts the requests of this window and of the window
+			// before it.
+			requestCount := 0
 
 			for _, at := range requests {
 				if at.After(from.Add(-window)) && at.Before(from.Add(window)) {
-					asked++
+					requestCount++
 				}
 			}
 
-			assert.Assert(t, float64(n) <= allowed.Ratio*float64(asked)+allowed.Burst, "%d repeats for %d requests", n, asked)
+			assert.Assert(t, float64(n) <= allowed.Ratio*float64(requestCount)+allowed.Burst, "%d retries for %d requests", n, requestCount)
 		}
 	})
 }
--- a/internal/serving/relay/caller.go
+++ b/internal/serving/relay/client.go
@@ -13,7 +13,7 @@
 type connKey struct{}
 
 // WithConn stores the client's connection in the context for Server. Use it
-// as the ConnContext of the http.Server in front.
+// as the ConnContext of the http.Server that serves the Server.
 func WithConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
@@ -22,13 +22,15 @@
 // Targets must stop within half a second after the client closed it.
 const closeCheckInterval = 200 * time.Millisecond
 
-// watchClose calls onClose when the client has closed its connection. It stops
-// once ctx has ended and the returned function was called.
+// watchClose calls onClose when the client has closed its connection. The checks
+// end when stop is called or ctx ends. A check that is running while stop is
+// called schedules another unless ctx has ended, so a caller must end ctx too.
 //
-// The HTTP server stops reading at bytes that it has not consumed, such as a
-// pipelined request, and does not notice a close behind them; targets would
-// then work on until the request's deadline. The state of the TCP connection
-// shows the close regardless of unread bytes.
+// While a request is handled, the HTTP server reads no further once it has
+// received bytes that follow the request, such as a pipelined request. It then
+// does not notice that the client closes the connection, and targets would work
+// on until the request's deadline. The state of the TCP connection shows the
+// close regardless of unread bytes.
 func watchClose(ctx context.Context, onClose func()) (stop func()) {
 	c, ok := ctx.Value(connKey{}).(syscall.Conn)
 	if !ok {
@@ -54,7 +56,8 @@
 			return
 		}
 
-		// A check that was running when the watch ended must not restart it.
+		// A check that was running when the request ended must not schedule
+		// another.
 		if ctx.Err() == nil {
 			timer.Reset(closeCheckInterval)
 		}
@@ -65,8 +68,8 @@
 	return func() { timer.Stop() }
 }
 
-// TCP states, as the kernel numbers them, of a connection that the other end
-// has closed.
+// The kernel's numbers of the TCP states that a connection has after the other
+// end has reset or closed it.
 const (
 	tcpClose     = 7
 	tcpCloseWait = 8
@@ -82,8 +85,8 @@
 
 	ctrlErr := raw.Control(func(fd uintptr) { info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) })
 	if ctrlErr != nil || err != nil {
-		// Not a TCP connection, or closed on this side, which is noticed
-		// elsewhere.
+		// Not a TCP connection, or already closed on this side. Neither shows
+		// that the client closed it.
 		return false
 	}
 
--- a/internal/serving/relay/conn.go
+++ b/internal/serving/relay/conn.go
@@ -17,11 +17,13 @@
 const (
 	// dialTimeout limits how long a connection to a target may take to open.
 	// Two data centres are a millisecond apart, and a lost first packet is
-	// retransmitted after a second.
+	// retransmitted after a second, so a connection opens in time even if its
+	// first packet is lost.
 	dialTimeout = 1100 * time.Millisecond
-	// maxIdleTime is how long an idle connection is kept if the target names no
-	// time. idleMargin is how long before the target's own timeout it is
-	// closed, so that a request does not cross the target's close.
+	// maxIdleTime is the longest time that an idle connection is kept, also if
+	// the target states a longer one or none. idleMargin is how long before the
+	// target's idle timeout the entry closes the connection; otherwise a request
+	// could be sent just as the target closes it.
 	maxIdleTime = 2 * time.Second
 	idleMargin  = 500 * time.Millisecond
 	// maxHeadBytes limits the size of an answer's head.
@@ -41,29 +43,32 @@
 	net.Conn
 
 	key targetKey
-	// head limits the bytes that are read of an answer's head.
-	head        *io.LimitedReader
-	r           *bufio.Reader
-	w           *bufio.Writer
-	uses        int
+	// limited is the reader under r. It limits how many bytes are read while an
+	// answer's head is read.
+	limited *io.LimitedReader
+	r       *bufio.Reader
+	w       *bufio.Writer
+	// uses counts the requests sent on the connection.
+	uses int
+	// idleSince and idleTimeout are set while the connection is in the pool.
 	idleSince   time.Time
 	idleTimeout time.Duration
 }
 
 // Pool keeps idle connections to targets. The zero value dials plain TCP.
 type Pool struct {
-	// Dial opens a connection. Nil means a dialer with short keep-alives.
+	// Dial opens a connection. If it is nil, the function Dial is used.
 	Dial func(ctx context.Context, address netip.AddrPort) (net.Conn, error)
 
 	mu   sync.Mutex
 	idle map[targetKey][]*conn
 }
 
-// get returns an idle connection, or a new one if there is none or fresh is
-// set. Requests that must not be retried use a new one, because on any other
-// the answer to an earlier request may still arrive.
-func (p *Pool) get(ctx context.Context, key targetKey, fresh bool) (*conn, error) {
-	for !fresh {
+// get returns an idle connection, or a new one if there is none or newConn is
+// set. Requests that must not be retried use a new connection, because a late
+// answer to an earlier request may still arrive on a reused one.
+func (p *Pool) get(ctx context.Context, key targetKey, newConn bool) (*conn, error) {
+	for !newConn {
 		c := p.takeIdle(key)
 		if c == nil {
 			break
@@ -89,8 +94,8 @@
 		return nil, err
 	}
 
-	c := &conn{Conn: nc, key: key, head: &io.LimitedReader{R: nc}}
-	c.r, c.w = bufio.NewReader(c.head), bufio.NewWriter(nc)
+	c := &conn{Conn: nc, key: key, limited: &io.LimitedReader{R: nc}}
+	c.r, c.w = bufio.NewReader(c.limited), bufio.NewWriter(nc)
 
 	return c, nil
 }
@@ -110,7 +115,7 @@
 	return c
 }
 
-// put returns a connection to the pool after the last answer was read
+// put returns a connection to the pool after the answer on it was read
 // completely. timeout is how long the target keeps an idle connection open, or
 // zero if that is unknown.
 func (p *Pool) put(c *conn, timeout time.Duration) {
@@ -157,8 +162,9 @@
 	}
 }
 
-// usable reports whether an idle connection has received neither a close nor
-// bytes, which would be taken for the answer to the next request.
+// usable reports whether an idle connection can carry another request: it has not
+// been idle for too long, was not closed by the target, and has received no
+// bytes, since those would be taken for the answer to the next request.
 func (c *conn) usable(now time.Time) bool {
 	if now.Sub(c.idleSince) >= c.idleTimeout {
 		return false
@@ -189,8 +195,8 @@
 
 const (
 	// keepAliveInterval and keepAliveCount limit how long an unresponsive
-	// connection stays open: it is probed after a second without traffic and
-	// closed after two further probes.
+	// connection stays open: after a second without traffic it is probed once a
+	// second, and closed when two probes have gone unanswered.
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
 	// userTimeout limits how long sent bytes may stay unacknowledged.
@@ -205,10 +211,11 @@
 	return net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveCount}
 }
 
-// Control limits how long sent bytes may stay unacknowledged on a socket.
+// Control sets a limit on how long sent bytes may stay unacknowledged on a
+// socket.
 //
-// A partition can break a connection without a reset. A write alone would then
-// wait for minutes.
+// A partition can break a connection without a reset. Without this limit, a
+// write would then block for minutes.
 func Control(_, _ string, c syscall.RawConn) error {
 	var optErr error
 
--- a/internal/serving/relay/deliver.go
+++ b/internal/serving/relay/deliver.go
@@ -23,8 +23,10 @@
 	// allows.
 	maxAttempts = 8
 	// rejectionBackoff is the pause after a target reported that it did not run
-	// a request. It doubles with each attempt: a load that ends later than
-	// predicted is 100 to 200 ms late.
+	// a request. It doubles with each attempt, to at most 8 times the base. A
+	// target may reject a request because a load ends later than predicted;
+	// such a load is 100 to 200 ms late, which the first pauses (60, 120 and
+	// 240 ms) outlast together.
 	rejectionBackoff = 60 * time.Millisecond
 	// maxAnswerBytes limits the size of an answer that is buffered.
 	maxAnswerBytes = 16 << 20
@@ -50,12 +52,12 @@
 	return fmt.Sprintf("target %s: failed with status %d", e.Target, e.Status)
 }
 
-// callerError is a failure to write to the client.
-type callerError struct{ err error }
+// clientError is a failure to write to the client.
+type clientError struct{ err error }
 
-func (e *callerError) Error() string { return "write to client: " + e.err.Error() }
+func (e *clientError) Error() string { return "write to client: " + e.err.Error() }
 
-func (e *callerError) Unwrap() error { return e.err }
+func (e *clientError) Unwrap() error { return e.err }
 
 // run makes attempts until the request is answered or must not be retried.
 func (d *delivery) run(ctx context.Context) error {
@@ -77,12 +79,13 @@
 		}
 
 		if ctx.Err() != nil {
-			// The deadline or the client's close has closed the connection to
-			// the target; the answer depends on that cause.
+			// ctx has ended, because the deadline has passed or the client has
+			// left, and this closed the connection to the target. The answer to
+			// the client depends on ctx's error, so err must contain it.
 			err = errors.Join(ctx.Err(), err)
 		}
 
-		d.Log.Info().Str("id", d.info.ID).Str("target", string(t.ID)).Int("send", d.trail.Count()).Err(err).Msg("attempt failed")
+		d.Log.Info().Str("id", d.info.ID).Str("target", string(t.ID)).Int("send", d.attemptLog.Count()).Err(err).Msg("attempt failed")
 
 		if !d.mayRetry(ctx, err) {
 			return err
@@ -98,7 +101,7 @@
 
 func (d *delivery) acquire(ctx context.Context) (*router.Target, error) {
 	if d.reached(RefusingUnstartedStreams) && !d.headSent && d.route.Kind == route.Stream {
-		return nil, stoppingRefusal()
+		return nil, shutdownRefusal()
 	}
 
 	q := router.Query{Suspect: d.suspect, Exclude: d.exclude}
@@ -122,9 +125,9 @@
 	return t, err
 }
 
-// waitLogDelay is how long a request waits for a target before that is logged.
-// Most requests get a target at once, and the request's last log line includes
-// short waits.
+// waitLogDelay is how long a request must wait for a target until the wait is
+// logged. Most requests get a target at once, and shorter waits appear in the
+// request's last log line.
 const waitLogDelay = 50 * time.Millisecond
 
 // logWaiting logs that a request waits and why the targets that hold its model
@@ -135,7 +138,7 @@
 		Int("leaving", s.Leaving).Int("dead", s.Dead).Int("ejected", s.Ejected).Msg("request waits")
 }
 
-// logChoice logs the chosen target and the figures behind the choice.
+// logChoice logs the chosen target and the values that the choice was based on.
 func (d *delivery) logChoice(t *router.Target) {
 	info := t.Info()
 	d.Log.Info().Str("id", d.info.ID).Str("key", d.req.Model).Str("target", string(t.ID)).Int("own", t.InFlight()).
@@ -144,8 +147,8 @@
 
 // mayRetry reports whether the request may be retried after err.
 func (d *delivery) mayRetry(ctx context.Context, err error) bool {
-	var clientErr *callerError
-	if errors.As(err, &clientErr) || ctx.Err() != nil || d.trail.Count() >= maxAttempts || d.reached(RefusingUnstartedStreams) && !d.headSent {
+	var clientErr *clientError
+	if errors.As(err, &clientErr) || ctx.Err() != nil || d.attemptLog.Count() >= maxAttempts || d.reached(RefusingUnstartedStreams) && !d.headSent {
 		return false
 	}
 
@@ -177,10 +180,13 @@
 
 func (e *RetryBudgetError) Error() string { return "no repeat left for service " + e.Service }
 
-// awaitRetry waits until the request may be retried. The retry budget limits
-// the requests that reach targets, so a request that did not reach its target
-// costs nothing. A rejected one backs off, then waits for its budget as long as
-// it may stay queued. For any other, the budget must allow the retry at once.
+// awaitRetry waits until the request may be retried.
+//
+// After a DialError it returns at once and debits nothing, since the retry budget
+// limits only requests that reach targets. After a rejection it backs off, then
+// waits for the service's budget until the request's queue deadline. After any
+// other error the budget must allow the retry at once, unless closeStalled has
+// already debited it.
 func (d *delivery) awaitRetry(ctx context.Context, err error) error {
 	var (
 		dial     *DialError
@@ -191,20 +197,20 @@
 	case errors.As(err, &dial):
 		return nil
 	case !errors.As(err, &rejected):
-		if d.retryReserved.Swap(false) || d.Budgets.TryWithdraw(d.service, time.Now()) {
+		if d.retryReserved.Swap(false) || d.Budgets.TryDebit(d.service, time.Now()) {
 			return nil
 		}
 
 		return &RetryBudgetError{Service: d.service}
 	}
 
-	if err := clock.Sleep(ctx, rejectionBackoff<<min(d.trail.Count()-1, 3)); err != nil { //nolint:mnd // At most 8 times the base.
+	if err := clock.Sleep(ctx, rejectionBackoff<<min(d.attemptLog.Count()-1, 3)); err != nil { //nolint:mnd // At most 8 times the base.
 		return err
 	}
 
-	for !d.Budgets.TryWithdraw(d.service, time.Now()) {
+	for !d.Budgets.TryDebit(d.service, time.Now()) {
 		if d.reached(RefusingUnstartedStreams) && !d.headSent {
-			return stoppingRefusal()
+			return shutdownRefusal()
 		}
 
 		if !time.Now().Add(budgetPollInterval).Before(d.req.Deadline) {
@@ -219,18 +225,19 @@
 	return nil
 }
 
-// budgetPollInterval is how often a rejected request checks the retry budget.
-// An entry's share of the burst is refilled at about one retry in three
-// seconds, and its requests earn more.
+// budgetPollInterval is the time between two checks of the retry budget by a
+// rejected request. It is short compared with the refill of a budget, which gains
+// about one retry every three seconds from the entry's share of the burst, and
+// more from the entry's requests.
 const budgetPollInterval = 250 * time.Millisecond
 
 // attempt sends the request to the target and forwards its answer.
 func (d *delivery) attempt(ctx context.Context, t *router.Target) error {
-	n := d.trail.Begin()
+	n := d.attemptLog.Begin()
 	sent := time.Now()
 
 	if n == 0 {
-		d.Budgets.Deposit(d.service, sent)
+		d.Budgets.Credit(d.service, sent)
 	}
 
 	lastEvent := d.lastEvent
@@ -252,7 +259,7 @@
 		return d.handleSendError(ctx, t, n, err)
 	}
 
-	if a.mark.NotRun {
+	if a.info.NotRun {
 		return d.handleRejection(t, n, a)
 	}
 
@@ -265,11 +272,12 @@
 	return nil
 }
 
-// handleSendError records an attempt that got no answer.
+// handleSendError handles an attempt that got no answer: the target was not
+// reached, or it may have crashed.
 func (d *delivery) handleSendError(ctx context.Context, t *router.Target, n int, err error) error {
 	var dial *DialError
 	if errors.As(err, &dial) {
-		d.trail.Record(n, request.NotReached)
+		d.attemptLog.Record(n, request.NotReached)
 
 		if ctx.Err() == nil {
 			d.markUnreachable(t)
@@ -283,7 +291,9 @@
 	return d.checkCrash(ctx, t, err)
 }
 
-// markUnreachable keeps requests away from a target that cannot be reached.
+// markUnreachable records that no connection to the target could be opened: as a
+// failure and as the death of its incarnation, so that no requests are sent to
+// it.
 func (d *delivery) markUnreachable(t *router.Target) {
 	now := time.Now()
 	t.RecordFailure(now)
@@ -293,8 +303,8 @@
 	}
 }
 
-// recordDeath records that a target's process accepts no connection. If that was
-// unknown before, it calls the server's callback and returns true.
+// recordDeath records that this incarnation of the target is dead. If that was
+// not recorded yet, it calls OnUnreachable and returns true.
 func (d *delivery) recordDeath(t *router.Target, incarnation string, now time.Time) bool {
 	if !t.MarkDead(incarnation, now) {
 		return false
@@ -307,9 +317,11 @@
 	return true
 }
 
-// handleRejection records that the target did not run the request.
+// handleRejection handles an answer that states that the target did not run the
+// request. It reports a moved address or an absent model, and returns a
+// *RejectedError.
 func (d *delivery) handleRejection(t *router.Target, n int, a *answer) error {
-	d.trail.Record(n, request.ProvedNotRun)
+	d.attemptLog.Record(n, request.ProvedNotRun)
 
 	if _, err := io.Copy(io.Discard, io.LimitReader(a.Body, maxHeadBytes)); err == nil {
 		a.release()
@@ -318,22 +330,23 @@
 	}
 
 	switch {
-	case a.mark.Misdirected && a.mark.Instance != "" && a.mark.Instance != t.ID:
+	case a.info.Misdirected && a.info.Instance != "" && a.info.Instance != t.ID:
 		d.OnAddressMoved(t)
-	case a.mark.Misdirected:
+	case a.info.Misdirected:
 		d.OnModelAbsent(t, d.req.Model)
 	}
 
 	return &RejectedError{Target: t.ID, Status: a.StatusCode}
 }
 
-// checkCrash checks whether the target died while it ran the request.
+// checkCrash checks whether the target died while it ran the request. It returns
+// a refusal if the request is now blocked, and err otherwise.
 //
 // Requests that crash every target that runs them must be blocked. A target
 // counts as dead only if it refuses a new connection right after the failure,
-// so that a lost answer alone makes no request suspect.
+// so that a lost answer alone does not make a request suspect.
 func (d *delivery) checkCrash(ctx context.Context, t *router.Target, err error) error {
-	var clientErr *callerError
+	var clientErr *clientError
 
 	var failed *FailedError
 	if errors.As(err, &clientErr) || errors.As(err, &failed) || ctx.Err() != nil {
@@ -361,14 +374,14 @@
 	d.Log.Warn().Str("id", d.info.ID).Str("target", string(t.ID)).Msg("target died under a request")
 
 	if d.Dispatcher.RecordDeath(d.req.Fingerprint(), crash.Death{Target: t.ID, Incarnation: incarnation}) {
-		return d.trail.Refuse(request.Poisoned, 0, "targets crashed while they ran this request")
+		return d.attemptLog.Refuse(request.Poisoned, 0, "targets crashed while they ran this request")
 	}
 
 	return err
 }
 
-// connectionBroken reports whether the error is a connection that ended during
-// a request.
+// connectionBroken reports whether err means that the connection ended during a
+// request.
 func connectionBroken(err error) bool {
 	var opErr *net.OpError
 
@@ -399,7 +412,7 @@
 
 // deliverAnswer forwards a target's answer.
 func (d *delivery) deliverAnswer(t *router.Target, n int, a *answer, sent time.Time) error {
-	if !a.mark.Signed || a.Header.Get("Content-Encoding") != "" {
+	if !a.info.Signed || a.Header.Get("Content-Encoding") != "" {
 		a.abandon()
 
 		return &InvalidAnswerError{Reason: "not signed, or encoded"}
@@ -417,7 +430,7 @@
 	}
 
 	a.release()
-	d.trail.Record(n, request.Completed)
+	d.attemptLog.Record(n, request.Completed)
 
 	whole := &bufferedAnswer{status: a.StatusCode, header: d.Protocol.Incoming(a.Header), body: body}
 
--- a/internal/serving/relay/exchange.go
+++ b/internal/serving/relay/exchange.go
@@ -29,13 +29,15 @@
 type answer struct {
 	*http.Response
 
-	mark AnswerInfo
+	info AnswerInfo
 	conn *conn
-	// longBody is set if the target may have answered before it had read the
-	// whole request.
+	// longBody is set if the request's body was longer than maxInlineBody. The
+	// target may then have answered before it had read all of it.
 	longBody bool
 	pool     *Pool
-	stop     func() bool
+	// stop ends the watch on the request's context. It returns false if the
+	// context has already ended, which closes the connection.
+	stop func() bool
 }
 
 // DialError reports that no byte of a request reached the target.
@@ -53,20 +55,21 @@
 
 const (
 	// maxInlineBody is the largest body that is written completely before the
-	// answer is read. A target may answer before it has read a longer one, and
-	// the small TCP windows of the links would then block the writer.
+	// answer is read. A longer body is written while the answer is read: a
+	// target may answer before it has read all of it, and the write would then
+	// block, because the TCP windows are small.
 	maxInlineBody = 16 << 10
 	// maxInterim limits the interim (1xx) answers before the final one.
 	maxInterim = 4
 	// maxStrayAnswers limits the answers to earlier requests that are skipped.
 	maxStrayAnswers = 2
-	// maxStrayBody limits the body of such an answer.
+	// maxStrayBody limits the size of the body of such an answer.
 	maxStrayBody = 256 << 10
 )
 
 // exchange sends the request on a connection to the target and returns the head
-// of the answer. If ctx ends meanwhile, it closes the connection, so that the
-// target stops its work.
+// of the answer. If ctx ends before the answer is released or abandoned, the
+// connection is closed, so that the target stops its work.
 func (p *Pool) exchange(ctx context.Context, t *router.Target, out *outgoing, proto Protocol) (*answer, error) {
 	c, err := p.get(ctx, targetKey{t.ID, t.Address}, out.newConn)
 	if err != nil {
@@ -104,9 +107,9 @@
 			return nil, err
 		}
 
-		mark := proto.Answer(resp.StatusCode, resp.Header)
-		if mark.ID == "" || mark.ID == out.id {
-			return &answer{Response: resp, mark: mark, conn: c, longBody: long}, nil
+		info := proto.Answer(resp.StatusCode, resp.Header)
+		if info.ID == "" || info.ID == out.id {
+			return &answer{Response: resp, info: info, conn: c, longBody: long}, nil
 		}
 
 		if err := c.skipAnswer(resp); err != nil {
@@ -117,11 +120,13 @@
 	return nil, &InvalidAnswerError{Reason: "answers to other requests"}
 }
 
-// skipAnswer reads and discards an answer to another request.
+// skipAnswer reads and discards an answer to another request. It fails on a
+// connection that has carried no earlier request, and if the answer is too long
+// or does not state its length.
 //
 // A target may answer an earlier request twice. The second answer then arrives
-// in place of the next one, and without the check of its id a client would get
-// the answer to another client's request.
+// where the answer to the next request is expected; if its id were not checked, a
+// client would get the answer to another client's request.
 func (c *conn) skipAnswer(resp *http.Response) error {
 	if c.uses < 2 || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 { //nolint:mnd // On its first use, a connection has no earlier request.
 		return &InvalidAnswerError{Reason: "answer to another request"}
@@ -138,14 +143,14 @@
 // readHead reads the head of the final answer.
 func (c *conn) readHead(method string) (*http.Response, error) {
 	for range maxInterim {
-		c.head.N = maxHeadBytes
+		c.limited.N = maxHeadBytes
 
 		resp, err := http.ReadResponse(c.r, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
 		}
 
-		c.head.N = int64(^uint64(0) >> 1)
+		c.limited.N = int64(^uint64(0) >> 1)
 
 		if resp.StatusCode >= http.StatusOK {
 			return resp, nil
@@ -205,7 +210,7 @@
 		return
 	}
 
-	a.pool.put(a.conn, a.mark.KeepAlive)
+	a.pool.put(a.conn, a.info.KeepAlive)
 }
 
 // abandon closes the connection of an answer that is invalid or not needed.
@@ -217,13 +222,13 @@
 // maxEvent limits the size of one event.
 const maxEvent = 1 << 20
 
-// events reads the events of a stream.
-type events struct{ r *bufio.Reader }
+// eventReader reads the events of a stream.
+type eventReader struct{ r *bufio.Reader }
 
 // next returns the next event, with its closing blank line, and its id. The
 // bytes are valid until the next call. A truncated event is returned together
 // with the error.
-func (e *events) next(buf []byte) (event []byte, id string, err error) {
+func (e *eventReader) next(buf []byte) (event []byte, id string, err error) {
 	buf = buf[:0]
 
 	for {
--- a/internal/serving/relay/identify.go
+++ b/internal/serving/relay/identify.go
@@ -28,7 +28,7 @@
 	// Coverage is the fraction of the limit whose owners took part in the decision,
 	// from 0 to 1.
 	Coverage float64
-	// RetryAfter is when the limit allows the request again.
+	// RetryAfter is how long it takes until the limit allows the request.
 	RetryAfter time.Duration
 }
 
@@ -36,10 +36,11 @@
 // the key.
 type UnknownKeyError struct{}
 
-func (e *UnknownKeyError) Error() string { return "no team has the caller's key" }
+func (e *UnknownKeyError) Error() string { return "no team has the client's key" }
 
-// identify returns the client's team, or nil if the route needs none. It fails
-// with a *key.MissingError or an *UnknownKeyError.
+// identify returns the team that has the client's key. Without such a team it
+// returns nil if no teams are configured or the route is public, and otherwise
+// fails with a *key.MissingError or an *UnknownKeyError.
 func identify(c *route.Config, rt *route.Route, credentials []string) (*team.Team, error) {
 	if c.Teams.Len() == 0 {
 		return nil, nil //nolint:nilnil // Without teams, routes are open to all.
@@ -74,11 +75,11 @@
 // receive a change later than others would otherwise refuse clients with new
 // keys.
 func (s *Server) matchRoute(r *http.Request, table *route.Table, info RequestInfo) (matchedRoute, error) {
-	p, err := matchIn(r, table, info)
+	m, err := matchIn(r, table, info)
 
 	var unknown *UnknownKeyError
 	if s.RefreshTable == nil || !errors.As(err, &unknown) {
-		return p, err
+		return m, err
 	}
 
 	s.RefreshTable(r.Context())
@@ -87,28 +88,28 @@
 		return matchIn(r, newer, info)
 	}
 
-	return p, err
+	return m, err
 }
 
 func matchIn(r *http.Request, table *route.Table, info RequestInfo) (matchedRoute, error) {
-	p := matchedRoute{table: table, route: table.Match(r.Host, r.URL.EscapedPath())}
-	if p.route == nil {
-		return p, nil
+	m := matchedRoute{table: table, route: table.Match(r.Host, r.URL.EscapedPath())}
+	if m.route == nil {
+		return m, nil
 	}
 
 	var err error
 
-	p.team, err = identify(table.Config, p.route, info.Credentials)
+	m.team, err = identify(table.Config, m.route, info.Credentials)
 
-	return p, err
+	return m, err
 }
 
 // challenge is the authentication scheme that a client without a valid key is
 // asked to use.
 const challenge = "Bearer"
 
-// limitUnknownRetryAfter is the Retry-After of a refusal because no owner could
-// state what is left of the team's limit.
+// limitUnknownRetryAfter is the Retry-After if a request is refused because no
+// owner could state what is left of the team's limit.
 const limitUnknownRetryAfter = 400 * time.Millisecond
 
 // charge charges the request to its team's limit. If the limit refuses it,
@@ -145,13 +146,13 @@
 
 // refund returns what was charged if the request provably did not run.
 func (d *delivery) refund() {
-	if d.cost > 0 && d.trail.Run() == request.NotRun {
+	if d.cost > 0 && d.attemptLog.Run() == request.NotRun {
 		d.Limits.Refund(d.team, d.cost)
 	}
 }
 
-// priority returns the request's priority: its team's if that has one, else its
-// route's.
+// priority returns the request's priority: that of its team, if the team has one,
+// or else that of its route.
 func (d *delivery) priority() int {
 	if d.team != nil && d.team.Ranked {
 		return d.team.Priority
@@ -168,8 +169,9 @@
 	return d.team.Name
 }
 
-// customer returns the name by which queues share capacity fairly: the team's,
-// or the route's if there is no team.
+// customer returns the name under which the request is queued; queues divide
+// capacity fairly between these names. It is the team's name, or the route's if
+// there is no team.
 func (d *delivery) customer() string {
 	if d.team != nil {
 		return d.team.Name
--- a/internal/serving/relay/identify_test.go
+++ b/internal/serving/relay/identify_test.go
@@ -24,22 +24,22 @@
 type keyedProtocol struct{ testProtocol }
 
 func (p keyedProtocol) Parse(h http.Header) (RequestInfo, error) {
-	a, err := p.testProtocol.Parse(h)
-	a.Credentials = h["Authorization"]
-	a.TokensIn, _ = strconv.Atoi(h.Get("Tokens"))
-	a.TokensGiven = h.Get("Tokens") != ""
+	info, err := p.testProtocol.Parse(h)
+	info.Credentials = h["Authorization"]
+	info.TokensIn, _ = strconv.Atoi(h.Get("Tokens"))
+	info.TokensGiven = h.Get("Tokens") != ""
 
-	return a, err
+	return info, err
 }
 
-func (p keyedProtocol) Outgoing(in http.Header, s Attempt) http.Header {
-	out := p.testProtocol.Outgoing(in, s)
-	if s.DropCredentials {
+func (p keyedProtocol) Outgoing(in http.Header, a Attempt) http.Header {
+	out := p.testProtocol.Outgoing(in, a)
+	if a.DropCredentials {
 		out.Del("Authorization")
 	}
 
-	out.Set("Team", s.Team)
-	out.Set("Priority", strconv.Itoa(s.Priority))
+	out.Set("Team", a.Team)
+	out.Set("Priority", strconv.Itoa(a.Priority))
 
 	return out
 }
@@ -62,15 +62,15 @@
 func newKeyedFixture(t *testing.T, public bool) *fixture {
 	t.Helper()
 
-	w := newFixture(t, func(_ int, _ call, out io.Writer, _ net.Conn) { writeAnswer(out, "200 OK", "", "done") },
+	f := newFixture(t, func(_ int, _ call, out io.Writer, _ net.Conn) { writeAnswer(out, "200 OK", "", "done") },
 		route.Route{Kind: route.Idempotent, Timeout: 5 * time.Second, Priority: 4, Public: public})
-	w.server.Protocol = keyedProtocol{}
+	f.server.Protocol = keyedProtocol{}
 
 	urgent := teamWithKey("b", "kb")
 	urgent.Ranked, urgent.Priority = true, 0
-	w.config.Teams = newTeams(t, teamWithKey("a", "ka"), urgent)
+	f.config.Teams = newTeams(t, teamWithKey("a", "ka"), urgent)
 
-	return w
+	return f
 }
 
 func TestAuthentication(t *testing.T) {
@@ -93,25 +93,25 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newKeyedFixture(t, tc.public)
-				defer w.close()
+				f := newKeyedFixture(t, tc.public)
+				defer f.close()
 
 				header := []string{"Team", "forged"}
 				if tc.authorization != "" {
 					header = append(header, "Authorization", tc.authorization)
 				}
 
-				rec, _ := w.do(t.Context(), "x", header...)
+				rec, _ := f.do(t.Context(), "x", header...)
 				assert.Equal(t, rec.Code, tc.status)
 
 				if tc.status == http.StatusUnauthorized {
 					assert.Equal(t, rec.Header().Get("WWW-Authenticate"), "Bearer")
-					assert.Equal(t, w.sends(), 0)
+					assert.Equal(t, f.attempts(), 0)
 
 					return
 				}
 
-				got := w.received()[0].header
+				got := f.received()[0].header
 				assert.Equal(t, got.Get("Authorization"), "")
 				assert.Equal(t, got.Get("Team"), tc.team)
 			})
@@ -119,48 +119,48 @@
 	}
 }
 
-// TestTeamPriority checks that a team's priority takes precedence over its
+// TestTeamPriority refreshes that a team's priority takes precedence over its
 // route's.
 func TestTeamPriority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newKeyedFixture(t, false)
-		defer w.close()
+		f := newKeyedFixture(t, false)
+		defer f.close()
 
-		_, _ = w.do(t.Context(), "x", "Authorization", "Bearer ka")
-		_, _ = w.do(t.Context(), "x", "Authorization", "Bearer kb")
-		assert.Equal(t, w.received()[0].header.Get("Priority"), "4")
-		assert.Equal(t, w.received()[1].header.Get("Priority"), "0")
+		_, _ = f.do(t.Context(), "x", "Authorization", "Bearer ka")
+		_, _ = f.do(t.Context(), "x", "Authorization", "Bearer kb")
+		assert.Equal(t, f.received()[0].header.Get("Priority"), "4")
+		assert.Equal(t, f.received()[1].header.Get("Priority"), "0")
 	})
 }
 
-// TestKeyOfNewerConfiguration checks that a client is not refused if its key is
+// TestKeyOfNewerConfiguration refreshes that a client is not refused if its key is
 // in a configuration that this entry has not received yet.
 func TestKeyOfNewerConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newKeyedFixture(t, false)
-		defer w.close()
+		f := newKeyedFixture(t, false)
+		defer f.close()
 
-		newer := *w.config
+		newer := *f.config
 		newer.Teams = newTeams(t, teamWithKey("c", "kc"))
-		checks := 0
+		refreshes := 0
 
-		w.server.RefreshTable = func(context.Context) {
-			checks++
-			w.table = route.NewTable(&newer)
+		f.server.RefreshTable = func(context.Context) {
+			refreshes++
+			f.table = route.NewTable(&newer)
 		}
 
-		rec, _ := w.do(t.Context(), "x", "Authorization", "Bearer kc")
+		rec, _ := f.do(t.Context(), "x", "Authorization", "Bearer kc")
 		assert.Equal(t, rec.Code, http.StatusOK)
-		assert.Equal(t, w.received()[0].header.Get("Team"), "c")
+		assert.Equal(t, f.received()[0].header.Get("Team"), "c")
 
-		rec, _ = w.do(t.Context(), "x", "Authorization", "Bearer ka")
+		rec, _ = f.do(t.Context(), "x", "Authorization", "Bearer ka")
 		assert.Equal(t, rec.Code, http.StatusUnauthorized)
-		assert.Equal(t, checks, 2)
+		assert.Equal(t, refreshes, 2)
 
 		// Malformed credentials match no configuration, so none is fetched.
-		rec, _ = w.do(t.Context(), "x", "Authorization", "Basic ka")
+		rec, _ = f.do(t.Context(), "x", "Authorization", "Basic ka")
 		assert.Equal(t, rec.Code, http.StatusUnauthorized)
-		assert.Equal(t, checks, 2)
+		assert.Equal(t, refreshes, 2)
 	})
 }
 
@@ -187,45 +187,45 @@
 func newLimitedFixture(t *testing.T, act targetScript, left float64) (*fixture, *fakeLimiter) {
 	t.Helper()
 
-	w := newKeyedFixture(t, false)
-	w.act = act
+	f := newKeyedFixture(t, false)
+	f.act = act
 
 	a := teamWithKey("a", "ka")
 	a.Limit = team.Limit{PerSecond: 100, Burst: 100, Unit: team.Tokens, Plain: 30}
-	w.config.Teams = newTeams(t, a)
+	f.config.Teams = newTeams(t, a)
 
 	l := &fakeLimiter{left: left}
-	w.server.Limits = l
+	f.server.Limits = l
 
-	return w, l
+	return f, l
 }
 
 func TestCharge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, l := newLimitedFixture(t, func(_ int, _ call, out io.Writer, _ net.Conn) { writeAnswer(out, "200 OK", "", "done") }, 100)
-		defer w.close()
+		f, l := newLimitedFixture(t, func(_ int, _ call, out io.Writer, _ net.Conn) { writeAnswer(out, "200 OK", "", "done") }, 100)
+		defer f.close()
 
-		rec, _ := w.do(t.Context(), "x", "Authorization", "Bearer ka", "Tokens", "60")
+		rec, _ := f.do(t.Context(), "x", "Authorization", "Bearer ka", "Tokens", "60")
 		assert.Equal(t, rec.Code, http.StatusOK)
 		assert.Equal(t, l.left, 40.0)
 
-		rec, _ = w.do(t.Context(), "x", "Authorization", "Bearer ka")
+		rec, _ = f.do(t.Context(), "x", "Authorization", "Bearer ka")
 		assert.Equal(t, rec.Code, http.StatusOK)
 		assert.Equal(t, l.left, 10.0, "a request without token counts is charged the operators' default")
 
-		rec, _ = w.do(t.Context(), "x", "Authorization", "Bearer ka")
+		rec, _ = f.do(t.Context(), "x", "Authorization", "Bearer ka")
 		assert.Equal(t, rec.Code, http.StatusTooManyRequests)
 		assert.Equal(t, rec.Header().Get("Retry-After"), "1.500")
-		assert.Equal(t, w.sends(), 2)
+		assert.Equal(t, f.attempts(), 2)
 
 		l.unknown = true
-		rec, _ = w.do(t.Context(), "x", "Authorization", "Bearer ka")
+		rec, _ = f.do(t.Context(), "x", "Authorization", "Bearer ka")
 		assert.Equal(t, rec.Code, http.StatusServiceUnavailable)
-		assert.Equal(t, w.sends(), 2)
+		assert.Equal(t, f.attempts(), 2)
 	})
 }
 
-// TestRefund checks that the charge for a request is refunded if it provably
+// TestRefund refreshes that the charge for a request is refunded if it provably
 // did not run, and only then.
 func TestRefund(t *testing.T) {
 	for name, tc := range map[string]struct {
@@ -238,34 +238,34 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w, l := newLimitedFixture(t, tc.act, 100)
-				defer w.close()
+				f, l := newLimitedFixture(t, tc.act, 100)
+				defer f.close()
 
-				_, _ = w.do(t.Context(), "x", "Authorization", "Bearer ka")
+				_, _ = f.do(t.Context(), "x", "Authorization", "Bearer ka")
 				assert.Equal(t, l.left, tc.left)
 			})
 		})
 	}
 }
 
-// TestNoKeysInLog checks that the log contains no keys.
+// TestNoKeysInLog refreshes that the log contains no keys.
 func TestNoKeysInLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log bytes.Buffer
 
-		w, l := newLimitedFixture(t, func(n int, _ call, out io.Writer, conn net.Conn) {
+		f, l := newLimitedFixture(t, func(n int, _ call, out io.Writer, conn net.Conn) {
 			if n%2 == 0 {
 				conn.Close()
 			}
 
 			writeAnswer(out, "200 OK", "", "done")
 		}, 70)
-		defer w.close()
+		defer f.close()
 
-		w.server.Log = zerolog.New(&log)
+		f.server.Log = zerolog.New(&log)
 
 		for _, text := range []string{"Bearer ka", "Bearer unknown-secret", "Basic ka", "Bearer ka", "Bearer ka", "Bearer ka", ""} {
-			_, _ = w.do(t.Context(), "x", "Authorization", text)
+			_, _ = f.do(t.Context(), "x", "Authorization", text)
 		}
 
 		assert.Assert(t, l.left < 30)
--- a/internal/serving/relay/protocol.go
+++ b/internal/serving/relay/protocol.go
@@ -1,7 +1,8 @@
 // Package relay is a reverse proxy: it forwards clients' HTTP requests to
-// targets and returns the answers unchanged. It retries only requests that may
-// be retried, checks that an answer is complete and belongs to its request, and
-// never lets a broken answer look complete.
+// targets and returns the bodies of their answers unchanged, except that a stream
+// may be resumed at another target. It retries only requests that may be retried,
+// checks that an answer is complete and belongs to its request, and never lets a
+// broken answer look complete.
 package relay
 
 import (
@@ -17,7 +18,7 @@
 	Parse(h http.Header) (RequestInfo, error)
 	// Outgoing returns the headers of a request to a target, without those that
 	// a client must not set.
-	Outgoing(in http.Header, s Attempt) http.Header
+	Outgoing(in http.Header, a Attempt) http.Header
 	// Incoming returns the headers of an answer that are forwarded to the
 	// client.
 	Incoming(in http.Header) http.Header
@@ -30,12 +31,12 @@
 	// ID is unique to this request; a client that sends the same content again
 	// uses a new one.
 	ID string
-	// Timeout is how long the client waits; zero means that it did not say.
+	// Timeout is how long the client waits, or zero if it states no timeout.
 	Timeout time.Duration
 	// Model is a model, or a model and an adapter, separated by a slash.
 	Model string
-	// Prompt identifies the parts of the prompt, and SharedPrompt those that other
-	// requests have as well.
+	// Prompt identifies all parts of the prompt. SharedPrompt identifies only the
+	// parts that the prompts of other requests also contain.
 	Prompt, SharedPrompt string
 	// TokensIn is the size of the prompt, TokensOut the maximum size of the
 	// answer. Neither is negative.
@@ -45,12 +46,12 @@
 	// Credentials are the header lines that identify the client. They are
 	// secret.
 	Credentials []string
-	// LastEvent is the id of the last event that the client received of a stream
-	// that broke off.
+	// LastEvent is the id of the last event that the client received before its
+	// stream broke off; it is empty if the request resumes no stream.
 	LastEvent string
 }
 
-// Attempt describes one attempt to the target.
+// Attempt describes one attempt of a request at a target, for Protocol.Outgoing.
 type Attempt struct {
 	// Timeout is how long the target may work.
 	Timeout time.Duration
@@ -61,16 +62,19 @@
 	Prioritised bool
 	Priority    int
 	// DropCredentials is set if clients authenticate with keys, which must not be
-	// forwarded. Team is the client's team, if it is known.
+	// forwarded.
 	DropCredentials bool
-	Team            string
+	// Team is the name of the client's team, or empty.
+	Team string
 }
 
 // AnswerInfo describes an answer, as its headers state.
 type AnswerInfo struct {
 	// ID is the id of the request that the answer belongs to, if stated.
 	ID string
-	// Signed is set if a target's program wrote the answer.
+	// Signed is set if the answer carries the header that only a target's own
+	// program sets. An answer without it may come from something else at the
+	// target's address.
 	Signed bool
 	// NotRun is set if the target states that it did not run the request.
 	NotRun bool
@@ -79,8 +83,8 @@
 	Misdirected bool
 	// Instance is the instance that answered, if stated.
 	Instance instance.ID
-	// KeepAlive is how long the target keeps an idle connection open; zero
-	// means that it did not say.
+	// KeepAlive is how long the target keeps an idle connection open, or zero if
+	// it does not state that.
 	KeepAlive time.Duration
 }
 
--- a/internal/serving/relay/relay_test.go
+++ b/internal/serving/relay/relay_test.go
@@ -40,13 +40,13 @@
 	return RequestInfo{ID: h.Get("Id"), Timeout: time.Duration(ms) * time.Millisecond, Model: h.Get("Model"), LastEvent: h.Get("After")}, nil
 }
 
-func (testProtocol) Outgoing(in http.Header, s Attempt) http.Header {
+func (testProtocol) Outgoing(in http.Header, a Attempt) http.Header {
 	out := in.Clone()
-	out.Set("Left", strconv.FormatInt(s.Timeout.Milliseconds(), 10))
-	out.Set("Target", string(s.Target))
+	out.Set("Left", strconv.FormatInt(a.Timeout.Milliseconds(), 10))
+	out.Set("Target", string(a.Target))
 
-	if s.LastEvent != "" {
-		out.Set("After", s.LastEvent)
+	if a.LastEvent != "" {
+		out.Set("After", a.LastEvent)
 	}
 
 	return out
@@ -72,12 +72,13 @@
 	target instance.ID
 	header http.Header
 	body   string
-	// onConn is the request's number on its connection, from 1.
-	onConn int
-	at     time.Time
+	// numberOnConn is the request's number on its connection, from 1.
+	numberOnConn int
+	at           time.Time
 }
 
-// targetScript handles the nth request that reaches any target.
+// targetScript is what a target does with a request. n is the number of the
+// request among all that reached the targets, from 1.
 type targetScript func(n int, c call, w io.Writer, conn net.Conn)
 
 // fixture is a server with targets a and b, connected by pipes.
@@ -91,7 +92,7 @@
 
 	mu    sync.Mutex
 	calls []call
-	// closed is when the server closed a connection during a request.
+	// closed is when the server last closed a connection to a target.
 	closed time.Time
 	down   map[instance.ID]bool
 }
@@ -106,14 +107,14 @@
 	r.Name, r.Host, r.Prefix = "r", "host", "/p/"
 	r.Splits = []route.Split{{Service: "s", Weight: 1}}
 
-	w := &fixture{t: t, act: act, down: make(map[instance.ID]bool), config: &route.Config{
+	f := &fixture{t: t, act: act, down: make(map[instance.ID]bool), config: &route.Config{
 		Version: 1, Routes: []route.Route{r}, Services: map[string]route.Service{"s": {Name: "s"}},
 	}}
-	w.table = route.NewTable(w.config)
+	f.table = route.NewTable(f.config)
 
 	targets := &router.Table{}
-	w.server = &Server{
-		Protocol: testProtocol{}, Pool: &Pool{Dial: w.dial}, Table: func() *route.Table { return w.table },
+	f.server = &Server{
+		Protocol: testProtocol{}, Pool: &Pool{Dial: f.dial}, Table: func() *route.Table { return f.table },
 		Budgets: &RetryBudgets{Limit: RetryLimit{Ratio: 0.2, Burst: 100, Window: 10 * time.Second}},
 		Dispatcher: dispatch.New(dispatch.Config{
 			Table: targets, Entries: func() int { return 1 }, CellOf: func(string) int { return 0 },
@@ -121,15 +122,16 @@
 		}),
 		OnModelAbsent: func(*router.Target, string) {}, OnAddressMoved: func(*router.Target) {}, Log: zerolog.Nop(),
 	}
-	w.server.Budgets.SetEntries(1)
-	w.targets = targets
-	w.listTargets(1)
+	f.server.Budgets.SetEntries(1)
+	f.targets = targets
+	f.listTargets(1)
 
-	return w
+	return f
 }
 
-// listTargets publishes both targets, as new processes for each number.
-func (w *fixture) listTargets(number uint64) {
+// listTargets publishes snapshot number, in which both targets have new
+// incarnations.
+func (f *fixture) listTargets(number uint64) {
 	s := &router.Snapshot{Token: 1, Number: number}
 	for i, id := range []instance.ID{"a", "b"} {
 		s.Targets = append(s.Targets, router.TargetInfo{
@@ -138,18 +140,18 @@
 		s.Added = append(s.Added, router.Replica{Target: id, Model: "s/"})
 	}
 
-	w.targets.Apply(s, time.Now())
+	f.targets.Apply(s, time.Now())
 }
 
-func (w *fixture) dial(_ context.Context, address netip.AddrPort) (net.Conn, error) {
+func (f *fixture) dial(_ context.Context, address netip.AddrPort) (net.Conn, error) {
 	id := instance.ID("a")
 	if address.Port() == 2 {
 		id = "b"
 	}
 
-	w.mu.Lock()
-	down := w.down[id]
-	w.mu.Unlock()
+	f.mu.Lock()
+	down := f.down[id]
+	f.mu.Unlock()
 
 	if down {
 		return nil, errors.New("refused")
@@ -157,34 +159,34 @@
 
 	near, far := net.Pipe()
 
-	go w.target(id, far)
+	go f.target(id, far)
 
 	return near, nil
 }
 
 // target serves one connection.
-func (w *fixture) target(id instance.ID, conn net.Conn) {
+func (f *fixture) target(id instance.ID, conn net.Conn) {
 	r := bufio.NewReader(conn)
 
 	for on := 1; ; on++ {
 		req, err := http.ReadRequest(r)
 		if err != nil {
-			w.mu.Lock()
-			w.closed = time.Now()
-			w.mu.Unlock()
+			f.mu.Lock()
+			f.closed = time.Now()
+			f.mu.Unlock()
 
 			return
 		}
 
 		body, _ := io.ReadAll(req.Body)
 
-		w.mu.Lock()
-		c := call{target: id, header: req.Header, body: string(body), onConn: on, at: time.Now()}
-		w.calls = append(w.calls, c)
-		n := len(w.calls)
-		w.mu.Unlock()
+		f.mu.Lock()
+		c := call{target: id, header: req.Header, body: string(body), numberOnConn: on, at: time.Now()}
+		f.calls = append(f.calls, c)
+		n := len(f.calls)
+		f.mu.Unlock()
 
-		w.act(n, c, conn, conn)
+		f.act(n, c, conn, conn)
 	}
 }
 
@@ -196,7 +198,7 @@
 
 // do sends a request and returns its answer; aborted is set if the connection
 // was closed before the answer's end.
-func (w *fixture) do(ctx context.Context, body string, header ...string) (rec *httptest.ResponseRecorder, aborted bool) {
+func (f *fixture) do(ctx context.Context, body string, header ...string) (rec *httptest.ResponseRecorder, aborted bool) {
 	req := httptest.NewRequestWithContext(ctx, http.MethodPost, "http://host/p/x?q=1", strings.NewReader(body))
 	req.RequestURI = "/p/x?q=1"
 	req.Header.Set("Id", "one")
@@ -210,30 +212,30 @@
 
 	defer func() {
 		if v := recover(); v != nil {
-			assert.Equal(w.t, v, http.ErrAbortHandler)
+			assert.Equal(f.t, v, http.ErrAbortHandler)
 
 			aborted = true
 		}
 	}()
 
-	w.server.ServeHTTP(recorder{rec}, req)
+	f.server.ServeHTTP(recorder{rec}, req)
 
 	return rec, false
 }
 
 // received returns the requests that reached the targets.
-func (w *fixture) received() []call {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (f *fixture) received() []call {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 
-	return w.calls
+	return f.calls
 }
 
-func (w *fixture) sends() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (f *fixture) attempts() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 
-	return len(w.calls)
+	return len(f.calls)
 }
 
 const head = "HTTP/1.1 %s\r\nSigned: x\r\nId: one\r\n"
@@ -244,7 +246,8 @@
 
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: x\n\n", id) }
 
-// stream sends the events with ids from to to, and the end if whole is set.
+// stream sends the events with the ids from "from" to "to", and the end of the
+// stream if whole is set.
 func stream(w io.Writer, from, to int, whole bool) {
 	_, _ = fmt.Fprintf(w, head+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", "200 OK")
 
@@ -262,7 +265,7 @@
 func TestOutcomes(t *testing.T) {
 	once := route.Route{Kind: route.NonIdempotent, Timeout: 5 * time.Second}
 	idempotent := route.Route{Kind: route.Idempotent, Timeout: 5 * time.Second}
-	stepwise := route.Route{Kind: route.Stream, Timeout: 5 * time.Second}
+	notResumable := route.Route{Kind: route.Stream, Timeout: 5 * time.Second}
 	resumable := route.Route{Kind: route.Stream, Resumable: true, Timeout: 5 * time.Second}
 	cut := func(_ int, _ call, _ io.Writer, conn net.Conn) { conn.Close() }
 	ok := func(w io.Writer) { writeAnswer(w, "200 OK", "", "done") }
@@ -272,11 +275,11 @@
 		act   targetScript
 		// status and body are what the client gets; aborted is set if its
 		// connection is closed before the answer's end.
-		status  int
-		body    string
-		aborted bool
-		sends   int
-		retry   bool
+		status   int
+		body     string
+		aborted  bool
+		attempts int
+		retry    bool
 	}{
 		"a complete answer":                         {once, func(_ int, _ call, w io.Writer, _ net.Conn) { ok(w) }, 200, "done", false, 1, false},
 		"an error of the target":                    {once, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "500 No", "", "why") }, 500, "why", false, 1, false},
@@ -331,12 +334,12 @@
 			_, _ = io.WriteString(w, "HTTP/1.1 102 Wait\r\n\r\n")
 			ok(w)
 		}, 200, "done", false, 1, false},
-		"a stream": {stepwise, func(_ int, _ call, w io.Writer, _ net.Conn) { stream(w, 1, 3, true) }, 200, event(1) + event(2) + event(3), false, 1, false},
-		"a stream cut between events": {stepwise, func(_ int, _ call, w io.Writer, conn net.Conn) {
+		"a stream": {notResumable, func(_ int, _ call, w io.Writer, _ net.Conn) { stream(w, 1, 3, true) }, 200, event(1) + event(2) + event(3), false, 1, false},
+		"a stream cut between events": {notResumable, func(_ int, _ call, w io.Writer, conn net.Conn) {
 			stream(w, 1, 2, false)
 			conn.Close()
 		}, 200, event(1) + event(2), true, 1, false},
-		"a stream cut within an event": {stepwise, func(_ int, _ call, w io.Writer, conn net.Conn) {
+		"a stream cut within an event": {notResumable, func(_ int, _ call, w io.Writer, conn net.Conn) {
 			stream(w, 1, 2, false)
 			_, _ = io.WriteString(w, "6\r\nid: 3\n\r\n")
 
@@ -368,79 +371,80 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFixture(t, c.act, c.route)
-				rec, aborted := w.do(t.Context(), "body")
+				f := newFixture(t, c.act, c.route)
+				rec, aborted := f.do(t.Context(), "body")
 
 				assert.Equal(t, rec.Code, c.status)
 				assert.Equal(t, rec.Body.String(), c.body)
 				assert.Equal(t, aborted, c.aborted)
-				assert.Equal(t, w.sends(), c.sends)
+				assert.Equal(t, f.attempts(), c.attempts)
 				assert.Equal(t, rec.Header().Get("Retry-After") != "", c.retry)
 
 				if c.status == http.StatusOK {
 					assert.Equal(t, rec.Header().Get("Signed"), "x")
 				}
 
-				for _, got := range w.received() {
+				for _, got := range f.received() {
 					assert.Equal(t, got.body, "body")
 				}
 
-				w.close()
+				f.close()
 			})
 		})
 	}
 }
 
 // close ends the targets' goroutines, so that the synctest bubble can end.
-func (w *fixture) close() {
+func (f *fixture) close() {
 	time.Sleep(2 * time.Minute)
-	w.server.Pool.CloseExpired(time.Now())
+	f.server.Pool.CloseExpired(time.Now())
 	synctest.Wait()
 }
 
 // TestSecondAnswerIsSkipped covers a target that answers a request twice. The
-// second answer arrives where the next one is expected, on a reused connection,
-// and the next client would get the answer to another client's request.
+// second answer arrives where the answer to the next request is expected, on a
+// reused connection. It must be skipped; otherwise the next client would get the
+// answer to another client's request.
 func TestSecondAnswerIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, func(n int, c call, w io.Writer, _ net.Conn) {
+		f := newFixture(t, func(n int, c call, w io.Writer, _ net.Conn) {
 			id := c.header.Get("Id")
 
-			if c.onConn > 1 {
+			if c.numberOnConn > 1 {
 				_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nSigned: x\r\nId: one\r\nContent-Length: 5\r\n\r\nagain")
 			}
 
 			_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nSigned: x\r\nId: %s\r\nContent-Length: 3\r\n\r\n%s", id, id)
 		}, route.Route{Kind: route.Idempotent, Timeout: time.Second})
-		w.down["b"] = true
+		f.down["b"] = true
 
 		for _, id := range []string{"one", "two"} {
-			rec, _ := w.do(t.Context(), "", "Id", id)
+			rec, _ := f.do(t.Context(), "", "Id", id)
 			assert.Equal(t, rec.Body.String(), id)
 		}
 
-		assert.Equal(t, w.received()[1].onConn, 2, "the connection was not reused, so the test shows nothing")
-		w.close()
+		assert.Equal(t, f.received()[1].numberOnConn, 2, "the connection was not reused, so the test shows nothing")
+		f.close()
 	})
 }
 
-// TestOnceUsesNewConnections checks that a request that must not run twice
-// never follows another one on a connection, where a late answer to that one
-// could be taken for its own.
+// TestOnceUsesNewConnections checks that a request that must not run twice is
+// never sent on a reused connection, where a late answer to an earlier request
+// could be taken for its answer.
 func TestOnceUsesNewConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "200 OK", "", "") },
+		f := newFixture(t, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "200 OK", "", "") },
 			route.Route{Kind: route.NonIdempotent, Timeout: time.Second})
 
 		for range 3 {
-			w.do(t.Context(), "")
+			f.do(t.Context(), "")
 		}
 
-		for _, c := range w.received() {
-			assert.Equal(t, c.onConn, 1)
+		for _, c := range f.received() {
+			assert.Equal(t, c.numberOnConn, 1)
 		}
 
-		w.close()
+		f.close()
 	})
 }
 
@@ -449,8 +453,8 @@
 // would take the next request for the rest of the body.
 func TestEarlyAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, nil, route.Route{Kind: route.Idempotent, Timeout: time.Second})
-		w.server.Pool.Dial = func(context.Context, netip.AddrPort) (net.Conn, error) {
+		f := newFixture(t, nil, route.Route{Kind: route.Idempotent, Timeout: time.Second})
+		f.server.Pool.Dial = func(context.Context, netip.AddrPort) (net.Conn, error) {
 			near, far := net.Pipe()
 
 			go func() {
@@ -466,51 +470,51 @@
 
 				_, _ = io.Copy(io.Discard, r)
 
-				w.mu.Lock()
-				w.closed = time.Now()
-				w.mu.Unlock()
+				f.mu.Lock()
+				f.closed = time.Now()
+				f.mu.Unlock()
 			}()
 
 			return near, nil
 		}
 
-		rec, _ := w.do(t.Context(), strings.Repeat("x", 10*maxInlineBody))
+		rec, _ := f.do(t.Context(), strings.Repeat("x", 10*maxInlineBody))
 		assert.Equal(t, rec.Code, http.StatusRequestEntityTooLarge)
 		synctest.Wait()
-		assert.Assert(t, !w.closed.IsZero(), "the connection was kept open")
-		w.close()
+		assert.Assert(t, !f.closed.IsZero(), "the connection was kept open")
+		f.close()
 	})
 }
 
-// TestCallerLeaves covers a client that closes its connection while a target
+// TestClientLeaves covers a client that closes its connection while a target
 // works for it. The target must be stopped at once, and no further attempt may
 // follow.
-func TestCallerLeaves(t *testing.T) {
+func TestClientLeaves(t *testing.T) {
 	for _, kind := range []route.Kind{route.NonIdempotent, route.Idempotent, route.Stream} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newFixture(t, func(int, call, io.Writer, net.Conn) {}, route.Route{Kind: kind, Timeout: 9 * time.Second})
+			f := newFixture(t, func(int, call, io.Writer, net.Conn) {}, route.Route{Kind: kind, Timeout: 9 * time.Second})
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 
 			defer cancel()
 
 			began := time.Now()
 
-			w.do(ctx, "")
+			f.do(ctx, "")
 			synctest.Wait()
-			assert.Equal(t, w.closed.Sub(began), time.Second)
-			assert.Equal(t, w.sends(), 1)
-			w.close()
+			assert.Equal(t, f.closed.Sub(began), time.Second)
+			assert.Equal(t, f.attempts(), 1)
+			f.close()
 		})
 	}
 }
 
-// TestTimeouts checks when a client is refused if no target answers, and the
-// time that targets are given.
+// TestTimeouts checks that a client is refused at the shorter of its own timeout
+// and the route's if no target answers, and that targets receive that timeout.
 func TestTimeouts(t *testing.T) {
 	cases := map[string]struct {
-		timeout time.Duration
-		left    string
-		want    time.Duration
+		timeout       time.Duration
+		clientTimeout string
+		want          time.Duration
 	}{
 		"the route's timeout":  {2 * time.Second, "10000", 2 * time.Second},
 		"the client's timeout": {20 * time.Second, "3000", 3 * time.Second},
@@ -519,98 +523,99 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newFixture(t, func(int, call, io.Writer, net.Conn) {}, route.Route{Kind: route.NonIdempotent, Timeout: c.timeout})
+				f := newFixture(t, func(int, call, io.Writer, net.Conn) {}, route.Route{Kind: route.NonIdempotent, Timeout: c.timeout})
 				began := time.Now()
-				rec, _ := w.do(t.Context(), "", "Left", c.left)
+				rec, _ := f.do(t.Context(), "", "Left", c.clientTimeout)
 
 				assert.Equal(t, rec.Code, http.StatusGatewayTimeout)
 				assert.Equal(t, time.Since(began), c.want)
-				assert.Equal(t, w.received()[0].header.Get("Left"), strconv.FormatInt(c.want.Milliseconds(), 10))
-				w.close()
+				assert.Equal(t, f.received()[0].header.Get("Left"), strconv.FormatInt(c.want.Milliseconds(), 10))
+				f.close()
 			})
 		})
 	}
 }
 
-// TestStop checks that a stopping entry serves short requests to the end, with
-// their connections closed, and refuses streams that could not end in time.
-func TestStop(t *testing.T) {
+// TestShutdown checks that an entry that shuts down still answers short requests,
+// closes each client connection after its answer, and refuses streams that could
+// not end in time.
+func TestShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		act := func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "200 OK", "", "done") }
-		w := newFixture(t, act, route.Route{Kind: route.NonIdempotent, Timeout: time.Second})
-		w.server.EnterPhase(RefusingNewStreams)
+		f := newFixture(t, act, route.Route{Kind: route.NonIdempotent, Timeout: time.Second})
+		f.server.EnterPhase(RefusingNewStreams)
 
-		rec, _ := w.do(t.Context(), "")
+		rec, _ := f.do(t.Context(), "")
 		assert.Equal(t, rec.Code, http.StatusOK)
 		assert.Equal(t, rec.Header().Get("Connection"), "close")
 
-		w.config.Routes[0].Kind = route.Stream
-		rec, _ = w.do(t.Context(), "")
+		f.config.Routes[0].Kind = route.Stream
+		rec, _ = f.do(t.Context(), "")
 		assert.Equal(t, rec.Code, http.StatusServiceUnavailable)
-		assert.Equal(t, w.sends(), 1)
-		w.close()
+		assert.Equal(t, f.attempts(), 1)
+		f.close()
 	})
 }
 
 // TestQueuedStreamIsRefusedAtShutdown covers a stream that waits for a model
-// while its entry stops. It must be refused in time for its client to use
-// another entry; otherwise it is cut off with the process.
+// while its entry shuts down. It must be refused in time for its client to use
+// another entry; otherwise it is cut off when the process ends.
 func TestQueuedStreamIsRefusedAtShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, nil, route.Route{Kind: route.Stream, Timeout: time.Minute})
-		w.config.Services["s"] = route.Service{Name: "s", Engine: &route.Engine{}}
+		f := newFixture(t, nil, route.Route{Kind: route.Stream, Timeout: time.Minute})
+		f.config.Services["s"] = route.Service{Name: "s", Engine: &route.Engine{}}
 
-		time.AfterFunc(time.Second, func() { w.server.EnterPhase(RefusingUnstartedStreams) })
+		time.AfterFunc(time.Second, func() { f.server.EnterPhase(RefusingUnstartedStreams) })
 
 		began := time.Now()
-		rec, _ := w.do(t.Context(), "", "Model", "cold")
+		rec, _ := f.do(t.Context(), "", "Model", "cold")
 
 		assert.Equal(t, rec.Code, http.StatusServiceUnavailable)
 		assert.Assert(t, rec.Header().Get("Retry-After") != "")
 		assert.Assert(t, time.Since(began) <= 1100*time.Millisecond)
-		w.close()
+		f.close()
 	})
 }
 
 // TestRejectedStreamIsRefusedAtShutdown covers a stream that was rejected and
-// waits for the retry budget while its entry stops. It is not queued then, and
-// must be refused all the same rather than cut off with the process.
+// waits for the retry budget while its entry shuts down. It is not queued then,
+// and must be refused all the same rather than cut off when the process ends.
 func TestRejectedStreamIsRefusedAtShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "503 Full", "Not-Run: 1\r\n", "") },
+		f := newFixture(t, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "503 Full", "Not-Run: 1\r\n", "") },
 			route.Route{Kind: route.Stream, Timeout: time.Minute, Goal: 10 * time.Second})
-		w.server.Budgets.SetLimit(RetryLimit{Burst: 1, Window: time.Hour})
-		time.AfterFunc(time.Second, func() { w.server.EnterPhase(RefusingUnstartedStreams) })
+		f.server.Budgets.SetLimit(RetryLimit{Burst: 1, Window: time.Hour})
+		time.AfterFunc(time.Second, func() { f.server.EnterPhase(RefusingUnstartedStreams) })
 
 		began := time.Now()
-		rec, _ := w.do(t.Context(), "", "Left", "60000")
+		rec, _ := f.do(t.Context(), "", "Left", "60000")
 
 		assert.Equal(t, rec.Code, http.StatusServiceUnavailable)
 		assert.Assert(t, rec.Header().Get("Retry-After") != "")
 		assert.Assert(t, time.Since(began) <= 1500*time.Millisecond, "took %s", time.Since(began))
-		w.close()
+		f.close()
 	})
 }
 
-// TestSilentStreamIsKeptWithoutBudget covers a target under load that sends
+// TestStalledStreamIsKeptWithoutBudget covers a target under load that sends
 // nothing for three seconds in the middle of a stream, with no retry left.
 // Closing its connection would lose the rest of the answer.
-func TestSilentStreamIsKeptWithoutBudget(t *testing.T) {
+func TestStalledStreamIsKeptWithoutBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, func(_ int, _ call, w io.Writer, _ net.Conn) {
+		f := newFixture(t, func(_ int, _ call, w io.Writer, _ net.Conn) {
 			stream(w, 1, 2, false)
 			time.Sleep(3 * time.Second)
 
 			_, _ = fmt.Fprintf(w, "%x\r\n%s\r\n0\r\n\r\n", len(event(3)), event(3))
 		}, route.Route{Kind: route.Stream, Resumable: true, Timeout: 9 * time.Second})
-		w.server.Budgets.SetLimit(RetryLimit{Burst: 1, Window: time.Hour})
-		assert.Assert(t, w.server.Budgets.TryWithdraw("s", time.Now()))
+		f.server.Budgets.SetLimit(RetryLimit{Burst: 1, Window: time.Hour})
+		assert.Assert(t, f.server.Budgets.TryDebit("s", time.Now()))
 
-		rec, aborted := w.do(t.Context(), "")
+		rec, aborted := f.do(t.Context(), "")
 		assert.Assert(t, !aborted)
 		assert.Equal(t, rec.Body.String(), event(1)+event(2)+event(3))
-		assert.Equal(t, w.sends(), 1)
-		w.close()
+		assert.Equal(t, f.attempts(), 1)
+		f.close()
 	})
 }
 
@@ -618,63 +623,64 @@
 // any target.
 func TestRefusedBeforeSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newFixture(t, nil, route.Route{Kind: route.NonIdempotent, Timeout: time.Second})
+		f := newFixture(t, nil, route.Route{Kind: route.NonIdempotent, Timeout: time.Second})
 
-		rec, _ := w.do(t.Context(), "", "Id", "")
+		rec, _ := f.do(t.Context(), "", "Id", "")
 		assert.Equal(t, rec.Code, http.StatusBadRequest)
 
-		w.config.Limits.BodyBytes = 4
-		rec, _ = w.do(t.Context(), "too long")
+		f.config.Limits.BodyBytes = 4
+		rec, _ = f.do(t.Context(), "too long")
 		assert.Equal(t, rec.Code, http.StatusRequestEntityTooLarge)
 
-		w.table = route.NewTable(&route.Config{})
-		rec, _ = w.do(t.Context(), "")
+		f.table = route.NewTable(&route.Config{})
+		rec, _ = f.do(t.Context(), "")
 		assert.Equal(t, rec.Code, http.StatusNotFound)
 
-		w.table = nil
-		rec, _ = w.do(t.Context(), "")
+		f.table = nil
+		rec, _ = f.do(t.Context(), "")
 		assert.Equal(t, rec.Code, http.StatusServiceUnavailable)
-		assert.Equal(t, w.sends(), 0)
+		assert.Equal(t, f.attempts(), 0)
 	})
 }
 
 // TestCrashingRequest covers a request that crashes each target that runs it
-// and that its client sends again and again. After two targets it must reach no
-// more. A request whose answers are only lost must not be blocked.
+// and that its client sends again and again. After it has crashed two targets, it
+// must not be sent to any more. A request whose answers are only lost must not be
+// blocked.
 func TestCrashingRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var w *fixture
+		var f *fixture
 
-		w = newFixture(t, func(_ int, c call, _ io.Writer, conn net.Conn) {
-			w.mu.Lock()
-			w.down[c.target] = c.body == "poison"
-			w.mu.Unlock()
+		f = newFixture(t, func(_ int, c call, _ io.Writer, conn net.Conn) {
+			f.mu.Lock()
+			f.down[c.target] = c.body == "poison"
+			f.mu.Unlock()
 			conn.Close()
 		}, route.Route{Kind: route.Idempotent, Timeout: time.Second})
 
 		for i := range 4 {
-			rec, _ := w.do(t.Context(), "poison")
+			rec, _ := f.do(t.Context(), "poison")
 			assert.Assert(t, rec.Code >= 500)
 
 			// The targets restart as new processes.
 			synctest.Wait()
-			clear(w.down)
-			w.listTargets(uint64(2 + i))
+			clear(f.down)
+			f.listTargets(uint64(2 + i))
 			time.Sleep(time.Second)
 		}
 
-		assert.Equal(t, w.sends(), 2)
+		assert.Equal(t, f.attempts(), 2)
 
-		w.mu.Lock()
-		w.calls = nil
-		w.mu.Unlock()
+		f.mu.Lock()
+		f.calls = nil
+		f.mu.Unlock()
 
 		for range 4 {
-			w.do(t.Context(), "unlucky")
+			f.do(t.Context(), "unlucky")
 			time.Sleep(5 * time.Second)
 		}
 
-		assert.Assert(t, w.sends() >= 4, "a request whose answers were lost was blocked")
-		w.close()
+		assert.Assert(t, f.attempts() >= 4, "a request whose answers were lost was blocked")
+		f.close()
 	})
 }
--- a/internal/serving/relay/server.go
+++ b/internal/serving/relay/server.go
@@ -33,19 +33,20 @@
 	// Table returns the routes in force, or nil before a configuration was
 	// received.
 	Table func() *route.Table
-	// RefreshTable makes sure that Table returns the routes that are in force now,
-	// within a short time. Nil means that it always does.
+	// RefreshTable fetches the routes now in force, so that Table returns them. It
+	// takes a short time at most. If it is nil, Table is always up to date.
 	RefreshTable func(ctx context.Context)
 	// Limits charges requests to teams' limits. If nil, limits are not
 	// enforced.
 	Limits Limiter
 	// OnModelAbsent is called when a target reports that it does not hold the model of
-	// the key.
-	OnModelAbsent func(t *router.Target, key string)
+	// routingKey (see RoutingKey).
+	OnModelAbsent func(t *router.Target, routingKey string)
 	// OnAddressMoved is called when another instance has a target's address.
 	OnAddressMoved func(t *router.Target)
-	// OnUnreachable is called when a target is found to accept no connection, but
-	// not again for a while. It may be nil.
+	// OnUnreachable is called when a target is found to accept no connection. It is
+	// not called again while that incarnation of the target is recorded as dead.
+	// It may be nil.
 	OnUnreachable func(t *router.Target)
 	Log           zerolog.Logger
 	// Metrics may be nil.
@@ -59,7 +60,8 @@
 // engine, the model or adapter.
 func RoutingKey(service, model string) string { return service + "/" + model }
 
-// Phase is the progress of an entry's graceful shutdown. It only grows.
+// Phase is the progress of an entry's graceful shutdown. The phases are entered
+// in their order.
 type Phase int32
 
 // The phases of a graceful shutdown.
@@ -68,18 +70,19 @@
 	Serving Phase = iota
 	// Draining closes each client connection after the next answer.
 	Draining
-	// RefusingNewStreams refuses new streams: a stream that begins this late would be cut
-	// off with the process, while its client still has time to use another
-	// entry.
+	// RefusingNewStreams refuses new streams. A stream that begins this late would be
+	// cut off when the process ends; a client that is refused now still has time
+	// to use another entry.
 	RefusingNewStreams
-	// RefusingUnstartedStreams also refuses accepted streams of which nothing was sent yet.
+	// RefusingUnstartedStreams also refuses accepted streams that have sent nothing to
+	// their clients yet, all queued requests, and the retries of all requests whose
+	// answers have not begun.
 	RefusingUnstartedStreams
 )
 
-// EnterPhase moves to phase p.
-//
-// A stream must not be cut off at the end of the grace time: streams that could
-// not end in time are not begun, and their clients are refused at once.
+// EnterPhase moves to phase p. From RefusingUnstartedStreams on, it also refuses
+// all queued requests at once: a stream that begins now could not end within the
+// grace time and would be cut off.
 func (s *Server) EnterPhase(p Phase) {
 	s.phase.Store(int32(p))
 
@@ -88,34 +91,37 @@
 	}
 
 	refuse := func() {
-		s.Dispatcher.RefuseWaiting(func(*request.Request) *request.Refusal { return stoppingRefusal() })
+		s.Dispatcher.RefuseWaiting(func(*request.Request) *request.Refusal { return shutdownRefusal() })
 	}
 
 	refuse()
-	// Once more for requests that were about to be queued.
+	// Refuse once more, for requests that were about to be queued.
 	time.AfterFunc(enqueueGrace, refuse)
 }
 
-// enqueueGrace is how long after the phase began a request may still be queued.
+// enqueueGrace is the delay before queued requests are refused a second time. It
+// covers requests that passed the phase check before the phase began and were
+// queued after it.
 const enqueueGrace = 100 * time.Millisecond
 
-// stoppingRefusal refuses a request because this entry is stopping.
-func stoppingRefusal() *request.Refusal {
+// shutdownRefusal refuses a request because this entry is shutting down.
+func shutdownRefusal() *request.Refusal {
 	return request.Refuse(request.ShuttingDown, otherEntryRetry, "this instance is stopping")
 }
 
 func (s *Server) reached(p Phase) bool { return Phase(s.phase.Load()) >= p }
 
-// otherEntryRetry is the Retry-After for clients that should only use another
+// otherEntryRetry is the Retry-After for clients that can retry at once at another
 // entry.
 const otherEntryRetry = 50 * time.Millisecond
 
-// Running returns the number of requests in flight.
+// Running returns the number of requests that have arrived and are not answered
+// yet.
 func (s *Server) Running() int { return int(s.running.Load()) }
 
 const (
-	// noConfigRetry is the Retry-After before a configuration was received: a
-	// start takes about that long.
+	// noConfigRetry is the Retry-After of an entry that has not received a
+	// configuration yet. An entry takes about that long to start.
 	noConfigRetry = 500 * time.Millisecond
 	// defaultMaxBody limits a body if the operators set no limit.
 	defaultMaxBody = 4 << 20
@@ -213,8 +219,9 @@
 	w.WriteHeader(status)
 }
 
-// count counts an answer by the kind of its request and its status; status zero
-// means that the answer broke off or that the client left.
+// count counts an answer by the kind of its request and a status. Every answer of
+// a target that counts as a success is counted as 200, whatever its own status.
+// Status zero means that the answer broke off or that the client left.
 func (s *Server) count(kind string, status int) {
 	if s.Metrics != nil {
 		s.Metrics.Tagged(map[string]string{"kind": kind, "status": strconv.Itoa(status)}).Counter("answers").Inc(1)
@@ -233,7 +240,7 @@
 	kind := kindNames[d.route.Kind]
 	d.count(kind, status)
 
-	if n := d.trail.Count(); n > 1 {
+	if n := d.attemptLog.Count(); n > 1 {
 		d.Metrics.Counter("repeats").Inc(int64(n - 1))
 	}
 
@@ -265,10 +272,12 @@
 	prioritised bool
 	body        []byte
 	req         *request.Request
-	trail       request.AttemptLog
+	attemptLog  request.AttemptLog
 	// runs counts the attempts that may have run the request.
-	runs    int
+	runs int
+	// suspect is set if the request may have crashed a target.
 	suspect bool
+	// exclude lists the target of the last attempt.
 	exclude []instance.ID
 	// headSent is set once the answer's head was sent to the client; lastEvent
 	// is then the id of the last event that was sent.
@@ -278,12 +287,12 @@
 	firstByte time.Duration
 	// waited is how long the request waited for a target, over all attempts.
 	waited time.Duration
-	// events counts the events that were sent to the client, the last one at
-	// lastEventAt.
-	events      int
+	// eventsSent counts the events that were sent to the client; the last one was
+	// sent at lastEventAt.
+	eventsSent  int
 	lastEventAt time.Time
-	// callerGone is set once the client has closed its connection.
-	callerGone atomic.Bool
+	// clientGone is set once the client has closed its connection.
+	clientGone atomic.Bool
 	// retryReserved is set if the retry budget was already debited for the next
 	// attempt.
 	retryReserved atomic.Bool
@@ -316,7 +325,7 @@
 	return nil
 }
 
-// forward gets the request answered by a target of the service.
+// forward sends the request to a target of the service and answers the client.
 func (d *delivery) forward(service route.Service) {
 	model := ""
 	if service.Engine != nil {
@@ -341,18 +350,18 @@
 	defer cancel()
 
 	defer watchClose(ctx, func() {
-		d.callerGone.Store(true)
+		d.clientGone.Store(true)
 		cancel()
 	})()
 
-	if wait, stopped := d.Dispatcher.IsBlocked(d.req.Fingerprint()); stopped {
-		d.finish(request.Refuse(request.Poisoned, wait, "this request has crashed the targets that ran it"))
+	if retryAfter, blocked := d.Dispatcher.IsBlocked(d.req.Fingerprint()); blocked {
+		d.finish(request.Refuse(request.Poisoned, retryAfter, "this request has crashed the targets that ran it"))
 
 		return
 	}
 
 	if d.reached(RefusingNewStreams) && d.route.Kind == route.Stream {
-		d.finish(stoppingRefusal())
+		d.finish(shutdownRefusal())
 
 		return
 	}
@@ -361,31 +370,33 @@
 	d.finish(d.run(ctx))
 }
 
-// queueShare is the part of a client's patience that a stream may spend in the
-// queue. A stream that has not begun by then is refused while its client still
-// waits and can retry; if it stayed queued to the end, the client would leave
-// without an answer.
-const queueShare = 0.7
+// queueFraction is the fraction of Route.ClientTimeout (the time after which a
+// client disconnects) that a stream may stay queued. A stream that has not begun
+// by then is refused while its client still waits and can retry; if it stayed queued for
+// the whole time, the client would leave without an answer.
+const queueFraction = 0.7
 
-// queueDeadline returns until when the request may stay queued.
+// queueDeadline returns the time at which the request is refused if it is still
+// queued.
 func (d *delivery) queueDeadline() time.Time {
 	if d.route.Kind != route.Stream {
 		return d.deadline
 	}
 
-	patience := time.Duration(queueShare * float64(d.route.ClientTimeout()))
-	if latest := d.arrived.Add(patience); latest.Before(d.deadline) {
+	maxWait := time.Duration(queueFraction * float64(d.route.ClientTimeout()))
+	if latest := d.arrived.Add(maxWait); latest.Before(d.deadline) {
 		return latest
 	}
 
 	return d.deadline
 }
 
-// maxWeight is the queue weight of the most urgent route's requests.
+// maxWeight is the queue weight of a request with priority 0, the most urgent.
+// Each step of priority lowers the weight by one, but not below zero.
 const maxWeight = 9
 
-// contentDigest identifies the content of the request, which is the same when
-// the client sends it again under another id.
+// contentDigest returns a digest of the request's content. A client that sends
+// the same content again under another id gets the same digest.
 func (d *delivery) contentDigest() string {
 	h := xxhash.New()
 	for _, s := range []string{d.r.Method, d.r.Host, d.r.RequestURI, d.info.Prompt} {
@@ -399,14 +410,15 @@
 }
 
 // finish writes the request's final answer, if none was written, and logs the
-// outcome.
+// outcome. If the answer broke off, it panics with http.ErrAbortHandler to close
+// the client's connection.
 func (d *delivery) finish(err error) {
 	line := d.Log.Info().Str("id", d.info.ID).Str("route", d.route.Name).Str("team", d.teamName()).Float64("cost", d.cost).Uint64("config", d.version).
-		Str("key", d.req.Model).Int("sends", d.trail.Count()).Bool("cold", d.coldStart).
+		Str("key", d.req.Model).Int("sends", d.attemptLog.Count()).Bool("cold", d.coldStart).
 		Dur("goal", d.route.Goal).Dur("left", d.deadline.Sub(d.arrived)).Dur("waited", d.waited).Dur("first", d.firstByte).Dur("took", time.Since(d.arrived))
 
-	if d.events > 0 {
-		line = line.Int("events", d.events).Dur("quiet", time.Since(d.lastEventAt))
+	if d.eventsSent > 0 {
+		line = line.Int("events", d.eventsSent).Dur("quiet", time.Since(d.lastEventAt))
 	}
 
 	switch {
@@ -415,7 +427,7 @@
 		line.Msg("request answered")
 
 		return
-	case d.r.Context().Err() != nil || d.callerGone.Load():
+	case d.r.Context().Err() != nil || d.clientGone.Load():
 		d.recordOutcome(0)
 		line.Err(err).Msg("caller left")
 
@@ -440,10 +452,11 @@
 	writeRefusal(d.w, status, retryAfter)
 }
 
-// refusalStatus returns a status that states no more than is proved, and the
-// Retry-After. Only 503 promises that the request did not run.
+// refusalStatus returns the status and the Retry-After of a refusal for err. The
+// status states no more than the attempts prove: only 503 promises that the
+// request did not run.
 func (d *delivery) refusalStatus(err error) (int, time.Duration) {
-	run := d.trail.Run()
+	run := d.attemptLog.Run()
 	timedOut := errors.Is(err, context.DeadlineExceeded)
 
 	switch {
@@ -463,5 +476,5 @@
 	return http.StatusServiceUnavailable, retryAfter
 }
 
-// defaultRetryAfter is the Retry-After of a refusal that names none itself.
+// defaultRetryAfter is the Retry-After of a refusal whose error states none.
 const defaultRetryAfter = 250 * time.Millisecond
--- a/internal/serving/relay/pass.go
+++ b/internal/serving/relay/stream.go
@@ -13,8 +13,9 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/router"
 )
 
-// eventTimeout is how long a stream that another target can resume may send no
-// event. Clients leave after 2.4 s or more.
+// eventTimeout is the longest time between two events of a resumable stream;
+// after it, another target resumes the stream. It leaves time for that before
+// clients disconnect, which is after 2.4 s or more.
 const eventTimeout = 1600 * time.Millisecond
 
 // forwardStream forwards a stream's events to the client as they arrive.
@@ -25,8 +26,8 @@
 
 	var (
 		buf    []byte
-		stream = events{bufio.NewReader(a.Body)}
-		watch  = time.AfterFunc(time.Hour, func() { d.closeSilent(a) })
+		stream = eventReader{bufio.NewReader(a.Body)}
+		watch  = time.AfterFunc(time.Hour, func() { d.closeStalled(a) })
 	)
 
 	defer watch.Stop()
@@ -49,7 +50,7 @@
 			return err
 		}
 
-		d.trail.Record(n, request.Begun)
+		d.attemptLog.Record(n, request.Begun)
 
 		if id != "" {
 			d.lastEvent = id
@@ -65,13 +66,14 @@
 	}
 }
 
-// closeSilent closes the connection of a stream that sent no event for
-// eventTimeout, if another target may resume the stream.
+// closeStalled closes the connection of a stream that sent no event for
+// eventTimeout, if the request may be retried: it has attempts left, the entry is
+// not draining, and the retry budget allows a retry, which is debited here.
 //
-// A target under load may pause for seconds and then go on. Without a retry
-// left, closing its connection would lose the rest of the answer.
-func (d *delivery) closeSilent(a *answer) {
-	if d.runs >= d.route.Attempts || d.reached(Draining) || !d.Budgets.TryWithdraw(d.service, time.Now()) {
+// A target under load may pause for seconds and then go on. If no retry is left,
+// closing its connection would lose the rest of the answer.
+func (d *delivery) closeStalled(a *answer) {
+	if d.runs >= d.route.Attempts || d.reached(Draining) || !d.Budgets.TryDebit(d.service, time.Now()) {
 		return
 	}
 
@@ -96,7 +98,7 @@
 	}
 
 	a.release()
-	d.trail.Record(n, request.Completed)
+	d.attemptLog.Record(n, request.Completed)
 
 	if len(rest) > 0 || !d.headSent {
 		return d.writeEvent(a, rest)
@@ -105,8 +107,8 @@
 	return nil
 }
 
-// writeEvent writes one event, preceded by the head of the first target's
-// answer if that was not sent yet.
+// writeEvent writes one event to the client. Before the first event it writes the
+// head of the answer.
 func (d *delivery) writeEvent(a *answer, event []byte) error {
 	if !d.headSent {
 		h := d.w.Header()
@@ -120,14 +122,14 @@
 	}
 
 	if _, err := d.w.Write(event); err != nil {
-		return &callerError{err}
+		return &clientError{err}
 	}
 
 	if err := http.NewResponseController(d.w).Flush(); err != nil {
-		return &callerError{err}
+		return &clientError{err}
 	}
 
-	d.events++
+	d.eventsSent++
 	d.lastEventAt = time.Now()
 
 	return nil
