--- a/internal/serving/relay/identify_test.go
+++ b/internal/serving/relay/identify_test.go
@@ -166,25 +166,25 @@
 
 // fakeLimiter is a Limiter with one balance for all teams.
 type fakeLimiter struct {
-	left    float64
+	balance float64
 	unknown bool
 }
 
 func (l *fakeLimiter) Charge(_ context.Context, _ *team.Team, cost float64) ChargeResult {
-	if l.unknown || l.left < cost {
+	if l.unknown || l.balance < cost {
 		return ChargeResult{Unknown: l.unknown, RetryAfter: 1500 * time.Millisecond}
 	}
 
-	l.left -= cost
+	l.balance -= cost
 
 	return ChargeResult{Granted: true}
 }
 
-func (l *fakeLimiter) Refund(_ *team.Team, cost float64) { l.left += cost }
+func (l *fakeLimiter) Refund(_ *team.Team, cost float64) { l.balance += cost }
 
 // newLimitedFixture returns a fixture whose team has a limit, with the given
 // balance.
-func newLimitedFixture(t *testing.T, act targetScript, left float64) (*fixture, *fakeLimiter) {
+func newLimitedFixture(t *testing.T, act targetScript, balance float64) (*fixture, *fakeLimiter) {
 	t.Helper()
 
 	f := newKeyedFixture(t, false)
@@ -194,7 +194,7 @@
 	a.Limit = team.Limit{PerSecond: 100, Burst: 100, Unit: team.Tokens, Plain: 30}
 	f.config.Teams = newTeams(t, a)
 
-	l := &fakeLimiter{left: left}
+	l := &fakeLimiter{balance: balance}
 	f.server.Limits = l
 
 	return f, l
@@ -207,11 +207,11 @@
 
 		rec, _ := f.do(t.Context(), "x", "Authorization", "Bearer ka", "Tokens", "60")
 		assert.Equal(t, rec.Code, http.StatusOK)
-		assert.Equal(t, l.left, 40.0)
+		assert.Equal(t, l.balance, 40.0)
 
 		rec, _ = f.do(t.Context(), "x", "Authorization", "Bearer ka")
 		assert.Equal(t, rec.Code, http.StatusOK)
-		assert.Equal(t, l.left, 10.0, "a request without token counts is charged the operators' default")
+		assert.Equal(t, l.balance, 10.0, "a request without token counts is charged the operators' default")
 
 		rec, _ = f.do(t.Context(), "x", "Authorization", "Bearer ka")
 		assert.Equal(t, rec.Code, http.StatusTooManyRequests)
@@ -229,8 +229,8 @@
 // did not run, and only then.
 func TestRefund(t *testing.T) {
 	for name, tc := range map[string]struct {
-		act  targetScript
-		left float64
+		act     targetScript
+		balance float64
 	}{
 		"not run":      {func(_ int, _ call, out io.Writer, _ net.Conn) { writeAnswer(out, "503 Full", "Not-Run: 1\r\n", "") }, 100},
 		"run":          {func(_ int, _ call, out io.Writer, _ net.Conn) { writeAnswer(out, "500 No", "", "") }, 70},
@@ -242,7 +242,7 @@
 				defer f.close()
 
 				_, _ = f.do(t.Context(), "x", "Authorization", "Bearer ka")
-				assert.Equal(t, l.left, tc.left)
+				assert.Equal(t, l.balance, tc.balance)
 			})
 		})
 	}
@@ -268,7 +268,7 @@
 			_, _ = f.do(t.Context(), "x", "Authorization", text)
 		}
 
-		assert.Assert(t, l.left < 30)
+		assert.Assert(t, l.balance < 30)
 		assert.Assert(t, strings.Contains(log.String(), `"team":"a"`))
 		assert.Assert(t, !strings.Contains(log.String(), "ka") && !strings.Contains(log.String(), "unknown-secret"), log.String())
 	})
--- a/internal/serving/relay/relay_test.go
+++ b/internal/serving/relay/relay_test.go
@@ -279,7 +279,8 @@
 		body     string
 		aborted  bool
 		attempts int
-		retry    bool
+		// retryAfter is set if the answer has the header Retry-After.
+		retryAfter bool
 	}{
 		"a complete answer":                         {once, func(_ int, _ call, w io.Writer, _ net.Conn) { ok(w) }, 200, "done", false, 1, false},
 		"an error of the target":                    {once, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "500 No", "", "why") }, 500, "why", false, 1, false},
@@ -378,7 +379,7 @@
 				assert.Equal(t, rec.Body.String(), c.body)
 				assert.Equal(t, aborted, c.aborted)
 				assert.Equal(t, f.attempts(), c.attempts)
-				assert.Equal(t, rec.Header().Get("Retry-After") != "", c.retry)
+				assert.Equal(t, rec.Header().Get("Retry-After") != "", c.retryAfter)
 
 				if c.status == http.StatusOK {
 					assert.Equal(t, rec.Header().Get("Signed"), "x")
