--- a/internal/placement/holder/churn.go
+++ b/internal/placement/holder/churn.go
@@ -9,19 +9,19 @@
 const (
 	// churnWindow is the time over which departed targets are counted.
 	churnWindow = 8 * time.Second
-	// minRisk is the probability that a target is gone within some seconds
-	// when none has left recently.
+	// minRisk is the lowest probability that risk returns, and the one for a
+	// service that no target has left recently.
 	minRisk = 0.02
 )
 
 // churn measures how fast the targets of a service leave. The zero value has
 // recorded no departure.
-type churn struct{ left []time.Time }
+type churn struct{ departures []time.Time }
 
 // record records that a target is leaving or gone.
 func (c *churn) record(now time.Time) {
-	c.left = slices.DeleteFunc(c.left, func(at time.Time) bool { return now.Sub(at) > churnWindow })
-	c.left = append(c.left, now)
+	c.departures = slices.DeleteFunc(c.departures, func(at time.Time) bool { return now.Sub(at) > churnWindow })
+	c.departures = append(c.departures, now)
 }
 
 // risk returns the probability that a given one of the service's targets
@@ -29,7 +29,7 @@
 func (c *churn) risk(targets int, d time.Duration, now time.Time) float64 {
 	n := 0
 
-	for _, at := range c.left {
+	for _, at := range c.departures {
 		if now.Sub(at) <= churnWindow {
 			n++
 		}
--- a/internal/placement/holder/churn_test.go
+++ b/internal/placement/holder/churn_test.go
@@ -16,19 +16,19 @@
 		left     []time.Duration
 		low, top float64
 	}{
-		"none":          {nil, minRisk, minRisk},
-		"long ago":      {[]time.Duration{-time.Minute, -churnWindow - 1}, minRisk, minRisk},
-		"one":           {[]time.Duration{-time.Second}, 0.1, 0.3},
-		"one a second":  {[]time.Duration{-4 * time.Second, -3 * time.Second, -2 * time.Second, -time.Second}, 0.4, 0.7},
-		"half the site": {[]time.Duration{0, 0, 0, 0, 0, 0}, 0.6, 0.9},
+		"none":             {nil, minRisk, minRisk},
+		"long ago":         {[]time.Duration{-time.Minute, -churnWindow - 1}, minRisk, minRisk},
+		"one":              {[]time.Duration{-time.Second}, 0.1, 0.3},
+		"one a second":     {[]time.Duration{-4 * time.Second, -3 * time.Second, -2 * time.Second, -time.Second}, 0.4, 0.7},
+		"half the targets": {[]time.Duration{0, 0, 0, 0, 0, 0}, 0.6, 0.9},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var turns churn
+			var departures churn
 			for _, at := range c.left {
-				turns.record(now.Add(at))
+				departures.record(now.Add(at))
 			}
 
-			got := turns.risk(12, 18*time.Second, now)
+			got := departures.risk(12, 18*time.Second, now)
 			assert.Assert(t, got >= c.low && got <= c.top, "risk %v", got)
 		})
 	}
--- a/internal/placement/holder/copies.go
+++ b/internal/placement/holder/copies.go
@@ -21,11 +21,14 @@
 // memoryCopy is a copy in host memory.
 type memoryCopy struct {
 	model string
-	// ready is when its load ends; zero means that another holder ordered it.
+	// ready is when its load ends. Zero means that only the target list shows
+	// the copy, as when another holder ordered the load.
 	ready time.Time
 }
 
-// applyRow applies a row of the target list, which may predate the last load.
+// applyRow applies a row of the target list. The row may predate the last
+// loads, so copies in host memory that it lacks are kept until maxListDelay
+// after the end of their load.
 func (lc *localCopies) applyRow(t inventory.Target, now time.Time) {
 	lc.disk = make(map[string]bool, len(t.OnDisk))
 	for _, model := range t.OnDisk {
@@ -36,7 +39,7 @@
 	lc.memory = slices.DeleteFunc(lc.memory, func(c memoryCopy) bool {
 		recorded[c.model] = true
 
-		return !slices.Contains(t.InMemory, c.model) && now.Sub(c.ready) > listLag
+		return !slices.Contains(t.InMemory, c.model) && now.Sub(c.ready) > maxListDelay
 	})
 
 	for _, model := range t.InMemory {
@@ -46,8 +49,9 @@
 	}
 }
 
-// recordLoad records a load that ends at ready. It leaves copies on disk and
-// in host memory, from which the copies loaded longest ago are evicted.
+// recordLoad records a load that ends at ready. The load leaves a copy on disk
+// and one in host memory. If the copies in host memory exceed e.HostMB, those
+// loaded longest ago are evicted.
 //
 // Without the eviction a load would be predicted to come from host memory
 // although its copy was evicted since the last row, and requests would be sent
--- a/internal/placement/holder/copies_test.go
+++ b/internal/placement/holder/copies_test.go
@@ -40,23 +40,24 @@
 	assert.DeepEqual(t, copies.tiers(), map[string]target.Tier{"a": target.TierDisk, "c": target.TierMemory})
 }
 
-// TestBusyForLong guards against requests that wait for a target predicted to
-// be free soon again and again, because the duration of its order is unknown.
+// TestBusyForLong guards against a target that is busy with an order of unknown
+// duration and is predicted, again and again, to be free soon, so that requests
+// keep waiting for it.
 func TestBusyForLong(t *testing.T) {
 	now := time.Unix(1000, 0)
 
-	var s trackedEngine
+	var eng trackedEngine
 
-	s.applyReport(Report{Busy: true}, now)
+	eng.applyReport(Report{Busy: true}, now)
 
 	for _, after := range []time.Duration{0, time.Second, 20 * time.Second} {
-		v := s.planTarget(now.Add(after), 0, nil)
-		assert.Assert(t, !v.AcceptsOrders)
-		assert.Equal(t, v.OrderEndsIn, max(orderTime, after))
+		planned := eng.swapTarget(now.Add(after), 0, nil)
+		assert.Assert(t, !planned.AcceptsOrders)
+		assert.Equal(t, planned.OrderEndsIn, max(orderTime, after))
 
-		s.applyReport(Report{Busy: true}, now.Add(after))
+		eng.applyReport(Report{Busy: true}, now.Add(after))
 	}
 
-	s.applyReport(Report{}, now.Add(30*time.Second))
-	assert.Assert(t, s.planTarget(now.Add(30*time.Second), 0, nil).AcceptsOrders)
+	eng.applyReport(Report{}, now.Add(30*time.Second))
+	assert.Assert(t, eng.swapTarget(now.Add(30*time.Second), 0, nil).AcceptsOrders)
 }
--- a/internal/placement/holder/decide.go
+++ b/internal/placement/holder/decide.go
@@ -74,7 +74,8 @@
 	h.shortRates.decay(now)
 	h.longRates.decay(now)
 
-	// A holder that waits for its orders in flight starts no more.
+	// A holder that is releasing the lease waits for its orders in flight and
+	// starts no others.
 	if !h.draining {
 		h.inquireUnsynced(ctx, now)
 	}
@@ -123,13 +124,13 @@
 const inventoryWait = 1200 * time.Millisecond
 
 // inquireUnsynced requests reports from the engines that are not synced. A new
-// holder does so before it may send orders, since a request for a report is no
-// order: after a crash of the former holder the first load then starts
+// holder does so even before it may send orders, because a request for a report
+// is not an order. So the first load after a crash of the former holder starts
 // earlier.
 func (h *Holder) inquireUnsynced(ctx context.Context, now time.Time) {
 	for _, eng := range h.engines {
-		if !eng.synced && !eng.inFlight && now.Sub(eng.doubtedAt) >= reportRetryDelay {
-			eng.doubtedAt = now
+		if !eng.synced && !eng.inFlight && now.Sub(eng.lastCheck) >= reportRetryDelay {
+			eng.lastCheck = now
 			h.startWork(eng, func() { h.inquire(ctx, eng) })
 		}
 	}
@@ -160,7 +161,7 @@
 }
 
 func (h *Holder) orderModels(ctx context.Context, service string, e *route.Engine, demands []keyDemand, inUse usage, now time.Time) {
-	v := &swap.Snapshot{
+	input := &swap.Snapshot{
 		Now: now, Engine: e, Demands: sumByModel(service, demands), Rate: h.shortRates.perSecond, LongTermRate: h.longRates.perSecond, PromisedSince: h.predictedSince(service), FreeStoreLoads: int(h.storeCapacity(service).fullSpeed()),
 	}
 	for id, eng := range h.engines {
@@ -168,43 +169,43 @@
 			continue
 		}
 
-		if eng.storeLoad != "" {
-			v.FreeStoreLoads--
-			v.StoreLoadsEndIn = append(v.StoreLoadsEndIn, max(0, eng.loadEnds.Sub(now)))
+		if eng.storeLoadModel != "" {
+			input.FreeStoreLoads--
+			input.StoreLoadsEndIn = append(input.StoreLoadsEndIn, max(0, eng.loadEnds.Sub(now)))
 		}
 
-		v.Targets = append(v.Targets, eng.planTarget(now, inUse.running[id], inUse.byModel[id]))
+		input.Targets = append(input.Targets, eng.swapTarget(now, inUse.running[id], inUse.byModel[id]))
 	}
 
-	slices.SortFunc(v.Targets, func(a, b swap.Target) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(input.Targets, func(a, b swap.Target) int { return cmp.Compare(a.ID, b.ID) })
 
-	v.StoreSlowdown = h.storeCapacity(service).slowdown(len(v.StoreLoadsEndIn))
-	v.LossRisk = h.risk(service, v)
-	round := swap.Decide(v)
+	input.StoreSlowdown = h.storeCapacity(service).slowdown(len(input.StoreLoadsEndIn))
+	input.LossRisk = h.risk(service, input)
+	round := swap.Decide(input)
 	h.predict(service, round.ReadyIn, now)
 
-	for _, m := range round.Swaps {
-		eng := h.engines[m.Target]
-		h.cfg.Log.Info().Str("target", string(m.Target)).Str("load", m.Load).Strs("unload", m.Unload).Int("tier", int(m.Tier)).
-			Dur("takes", m.LoadTime).Str("for", string(m.Reason)).Uint64("token", h.lease.Token).Uint64("sequence", eng.sequence).Msg("swap decided")
-		h.reserve(eng, m, now)
-		h.startWork(eng, func() { h.swap(ctx, eng, m) })
+	for _, s := range round.Swaps {
+		eng := h.engines[s.Target]
+		h.cfg.Log.Info().Str("target", string(s.Target)).Str("load", s.Load).Strs("unload", s.Unload).Int("tier", int(s.Tier)).
+			Dur("takes", s.LoadTime).Str("for", string(s.Reason)).Uint64("token", h.lease.Token).Uint64("sequence", eng.sequence).Msg("swap decided")
+		h.reserve(eng, s, now)
+		h.startWork(eng, func() { h.swap(ctx, eng, s) })
 	}
 }
 
 // reserve records a swap before its orders are sent, so that the next round
 // includes it and entries stop sending requests for the models to be unloaded.
-func (h *Holder) reserve(eng *trackedEngine, m swap.Swap, now time.Time) {
-	for _, model := range m.Unload {
+func (h *Holder) reserve(eng *trackedEngine, s swap.Swap, now time.Time) {
+	for _, model := range s.Unload {
 		delete(eng.models, model)
 	}
 
-	eng.models[m.Load] = &trackedModel{ready: now.Add(m.LoadTime + unacceptedMargin), used: now, adapters: make(map[string]*trackedAdapter)}
-	eng.unacceptedLoad, eng.loadTime, eng.storeLoad = m.Load, m.LoadTime, ""
+	eng.models[s.Load] = &trackedModel{ready: now.Add(s.LoadTime + unacceptedMargin), used: now, adapters: make(map[string]*trackedAdapter)}
+	eng.unacceptedLoad, eng.loadTime, eng.storeLoadModel = s.Load, s.LoadTime, ""
 	h.published = false
 
-	if m.Tier == target.TierRemote {
-		eng.storeLoad = m.Load
+	if s.Tier == target.TierRemote {
+		eng.storeLoadModel = s.Load
 	}
 }
 
@@ -220,12 +221,12 @@
 	}
 }
 
-// unacceptedMargin is added to the duration of a load until its order is
-// accepted.
+// unacceptedMargin is added to the duration of a load when the load is decided,
+// for the time until the engine accepts its order.
 const unacceptedMargin = 300 * time.Millisecond
 
-// orderTime is the assumed duration of an order that is not a load, such as an
-// unload or a request for a report.
+// orderTime is the least time assumed until an engine that accepts no orders
+// accepts them again, such as during an unload or a request for a report.
 const orderTime = 300 * time.Millisecond
 
 // sumByModel sums the demand for a service's models and their adapters, by
@@ -265,8 +266,9 @@
 
 // usage counts running requests over all entries.
 type usage struct {
-	// running counts them by target, and byModel by target and name. The name
-	// is that of the model, or model/adapter.
+	// running has the number of running requests by target. byModel has it by
+	// target and by model, and for requests with an adapter also by
+	// model/adapter.
 	running map[instance.ID]int
 	byModel map[instance.ID]map[string]int
 }
@@ -294,8 +296,8 @@
 	return out
 }
 
-// planTarget returns the engine as input for the plan.
-func (eng *trackedEngine) planTarget(now time.Time, running int, uses map[string]int) swap.Target {
+// swapTarget returns the engine as an input of swap.Decide.
+func (eng *trackedEngine) swapTarget(now time.Time, running int, uses map[string]int) swap.Target {
 	t := swap.Target{
 		ID: eng.target.ID, AcceptsOrders: eng.synced && !eng.inFlight && !now.Before(eng.loadEnds),
 		Serving: eng.serves(), Cached: eng.localTiers, Running: running,
@@ -328,23 +330,23 @@
 			continue
 		}
 
-		var sites []swap.AdapterTarget
+		var targets []swap.AdapterTarget
 
 		for id, eng := range h.engines {
 			if eng.target.Service == service && eng.acceptsAdapter(kd.model, now) {
-				sites = append(sites, eng.site(id, inUse.running[id], inUse.byModel[id]))
+				targets = append(targets, eng.adapterTarget(id, inUse.running[id], inUse.byModel[id]))
 			}
 		}
 
-		m, ok := swap.PlaceAdapter(sites, e.AdapterSlots, now)
+		s, ok := swap.PlaceAdapter(targets, e.AdapterSlots, now)
 		if !ok {
 			continue
 		}
 
-		eng := h.engines[m.Target]
-		h.cfg.Log.Info().Str("target", string(m.Target)).Str("model", kd.model).Str("adapter", kd.adapter).
-			Str("unload", m.Unload).Uint64("sequence", eng.sequence).Msg("adapter decided")
-		h.startWork(eng, func() { h.loadAdapter(ctx, eng, kd.model, kd.adapter, m.Unload) })
+		eng := h.engines[s.Target]
+		h.cfg.Log.Info().Str("target", string(s.Target)).Str("model", kd.model).Str("adapter", kd.adapter).
+			Str("unload", s.Unload).Uint64("sequence", eng.sequence).Msg("adapter decided")
+		h.startWork(eng, func() { h.loadAdapter(ctx, eng, kd.model, kd.adapter, s.Unload) })
 	}
 }
 
@@ -369,25 +371,26 @@
 	return resident != nil && eng.synced && !eng.inFlight && eng.serves() && !now.Before(eng.loadEnds) && !now.Before(resident.ready)
 }
 
-func (eng *trackedEngine) site(id instance.ID, running int, uses map[string]int) swap.AdapterTarget {
-	site := swap.AdapterTarget{ID: id, Running: running}
+func (eng *trackedEngine) adapterTarget(id instance.ID, running int, uses map[string]int) swap.AdapterTarget {
+	t := swap.AdapterTarget{ID: id, Running: running}
 
 	for model, resident := range eng.models {
 		for name, a := range resident.adapters {
 			full := model + "/" + name
-			site.Adapters = append(site.Adapters, swap.LoadedAdapter{Name: full, Running: uses[full], LastUsed: a.used})
+			t.Adapters = append(t.Adapters, swap.LoadedAdapter{Name: full, Running: uses[full], LastUsed: a.used})
 		}
 	}
 
-	return site
+	return t
 }
 
-// startWork runs work that sends orders to an engine, in a goroutine; an
-// engine has at most one at a time. The caller holds the lock.
+// startWork starts a goroutine that sends orders to an engine or requests its
+// report. Each engine has at most one such goroutine at a time. The caller
+// holds the lock.
 func (h *Holder) startWork(eng *trackedEngine, work func()) {
 	eng.inFlight = true
 
-	h.orders.Go(func() {
+	h.work.Go(func() {
 		work()
 
 		h.mu.Lock()
--- a/internal/placement/holder/delta.go
+++ b/internal/placement/holder/delta.go
@@ -28,8 +28,8 @@
 
 // Delta is the difference between two snapshots.
 type Delta struct {
-	// Snapshot is the newer snapshot. It contains only those engines of which more
-	// than the counts has changed.
+	// Snapshot is the newer snapshot, without the engines that are unchanged or
+	// of which only the counts have changed.
 	Snapshot
 	// Base is the version of the older snapshot. The zero value means that the
 	// delta is a complete snapshot.
@@ -40,37 +40,38 @@
 	Removed []instance.ID
 }
 
-// EngineCounts is the load of one target: its running requests and the entries with
-// queued ones.
+// EngineCounts has the number of a target's running requests and the number of
+// entries with requests queued for it.
 type EngineCounts struct {
 	Target                  instance.ID
 	Running, WaitingEntries int
 }
 
 const (
-	// runningStep is the difference in running requests from which an engine
-	// is sent again for that alone. The count changes with every request, and
-	// the choice of a target does not depend on two more or less.
+	// runningStep is the smallest change in the number of running requests that
+	// is published on its own. The number changes with every request, and a
+	// difference of two does not affect the choice of a target.
 	runningStep = 3
-	// readyStep is the same for the time at which a load ends, which two
-	// entries derive from messages with different delays.
+	// readyStep is the smallest change in the end of a load that is published
+	// on its own. Two entries derive that time from messages with different
+	// delays, so smaller differences mean nothing.
 	readyStep = 30 * time.Millisecond
 )
 
-// sameCounts reports whether an entry that has s need not receive the counts
-// of o, because as many entries wait and the running requests differ by less
-// than minDiff.
-func (s *EngineState) sameCounts(o *EngineState, minDiff int) bool {
-	diff := o.Running - s.Running
+// sameCounts reports whether an entry that has state need not receive the
+// counts of o: WaitingEntries is equal, and Running differs by less than
+// minDiff.
+func (state *EngineState) sameCounts(o *EngineState, minDiff int) bool {
+	diff := o.Running - state.Running
 
-	return s.WaitingEntries == o.WaitingEntries && max(diff, -diff) < minDiff
+	return state.WaitingEntries == o.WaitingEntries && max(diff, -diff) < minDiff
 }
 
-// sameModels reports whether an entry that has s need not receive the models
-// of o.
-func (s *EngineState) sameModels(o *EngineState, now time.Time) bool {
-	return s.Born == o.Born && s.Sequence == o.Sequence &&
-		(sameList(s.Resident, o.Resident) || slices.EqualFunc(s.Resident, o.Resident, func(a, b ResidentModel) bool { return a.similar(b, now) }))
+// sameModels reports whether an entry that has state need not receive the
+// models of o.
+func (state *EngineState) sameModels(o *EngineState, now time.Time) bool {
+	return state.Born == o.Born && state.Sequence == o.Sequence &&
+		(sameList(state.Resident, o.Resident) || slices.EqualFunc(state.Resident, o.Resident, func(a, b ResidentModel) bool { return a.similar(b, now) }))
 }
 
 // sameList reports whether two lists share their memory, as they do when the
--- a/internal/placement/holder/delta_test.go
+++ b/internal/placement/holder/delta_test.go
@@ -13,28 +13,28 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// drawSnapshot draws a snapshot of a small site, so that engines often stay
-// unchanged.
+// drawSnapshot draws a snapshot of a small data centre, so that engines often
+// stay unchanged.
 func drawSnapshot(t *rapid.T, token, number uint64) Snapshot {
-	n := Snapshot{Holder: "h", Process: fmt.Sprint("p", token), Token: token, Number: number}
+	snapshot := Snapshot{Holder: "h", Process: fmt.Sprint("p", token), Token: token, Number: number}
 
 	for i := range 4 {
 		if rapid.IntRange(0, 4).Draw(t, "listed") == 0 {
 			continue
 		}
 
-		s := EngineState{
+		state := EngineState{
 			Target: instance.ID(fmt.Sprint("t", i)), Born: int64(rapid.IntRange(1, 2).Draw(t, "born")),
 			Sequence: uint64(rapid.IntRange(0, 2).Draw(t, "sequence")), Running: rapid.IntRange(0, 5).Draw(t, "running"),
 		}
 		if rapid.Bool().Draw(t, "holds") {
-			s.Resident = []ResidentModel{{Model: "m", Ready: time.Unix(int64(rapid.IntRange(0, 1).Draw(t, "ready")), 0)}}
+			state.Resident = []ResidentModel{{Model: "m", Ready: time.Unix(int64(rapid.IntRange(0, 1).Draw(t, "ready")), 0)}}
 		}
 
-		n.Engines = append(n.Engines, s)
+		snapshot.Engines = append(snapshot.Engines, state)
 	}
 
-	return n
+	return snapshot
 }
 
 func sortedEngines(s Snapshot) []EngineState {
@@ -141,15 +141,15 @@
 func assertSameState(t *rapid.T, have, latest Snapshot) {
 	assert.Equal(t, have.Number, latest.Number)
 
-	want, now := sortedEngines(latest), sortedEngines(have)
-	assert.Equal(t, len(now), len(want))
+	want, got := sortedEngines(latest), sortedEngines(have)
+	assert.Equal(t, len(got), len(want))
 
 	for i := range want {
-		diff := now[i].Running - want[i].Running
+		diff := got[i].Running - want[i].Running
 		assert.Assert(t, max(diff, -diff) < runningStep)
 
-		now[i].Running = want[i].Running
-		assert.DeepEqual(t, now[i], want[i])
+		got[i].Running = want[i].Running
+		assert.DeepEqual(t, got[i], want[i])
 	}
 }
 
@@ -163,8 +163,8 @@
 	return out
 }
 
-// TestDeltaIsSmall guards against a load on one of 60 targets that is sent to
-// every entry as 60 engine states.
+// TestDeltaIsSmall guards against a model load on one of 60 targets that is
+// sent to every entry as 60 engine states.
 func TestDeltaIsSmall(t *testing.T) {
 	var h History
 
@@ -184,8 +184,8 @@
 	assert.DeepEqual(t, d.Counts, []EngineCounts{{Target: "5", Running: 7 + runningStep}})
 }
 
-// TestCountsDrift guards against counts that drift away in small steps and are
-// never sent.
+// TestCountsDrift guards against counts that change in steps too small to be
+// published, and are never sent although the changes add up.
 func TestCountsDrift(t *testing.T) {
 	var h History
 
@@ -233,30 +233,30 @@
 	assert.Equal(t, len(d.Engines), 60)
 }
 
-// BenchmarkHear measures receiving a delta with changes to two of 3,000
+// BenchmarkReceiveDelta measures receiving a delta with changes to two of 3,000
 // targets.
-func BenchmarkHear(b *testing.B) {
+func BenchmarkReceiveDelta(b *testing.B) {
 	const targets = 3000
 
 	var h, other History
 
-	n := Snapshot{Process: "p", Token: 1, Number: 1}
+	snapshot := Snapshot{Process: "p", Token: 1, Number: 1}
 	for i := range targets {
-		n.Engines = append(n.Engines, EngineState{Target: instance.ID(fmt.Sprint("i-", i)), Resident: []ResidentModel{{Model: "m"}, {Model: "n"}}})
+		snapshot.Engines = append(snapshot.Engines, EngineState{Target: instance.ID(fmt.Sprint("i-", i)), Resident: []ResidentModel{{Model: "m"}, {Model: "n"}}})
 	}
 
 	now := time.Unix(1000, 0)
-	h.Publish(n, now)
+	h.Publish(snapshot, now)
 	other.Receive(h.Snapshot(), now)
 
 	for b.Loop() {
-		n.Number++
-		n.Engines = slices.Clone(n.Engines)
-		n.Engines[n.Number%targets].Running += runningStep
-		n.Engines[(n.Number+1)%targets].Sequence++
+		snapshot.Number++
+		snapshot.Engines = slices.Clone(snapshot.Engines)
+		snapshot.Engines[snapshot.Number%targets].Running += runningStep
+		snapshot.Engines[(snapshot.Number+1)%targets].Sequence++
 
 		b.StopTimer()
-		h.Publish(n, now)
+		h.Publish(snapshot, now)
 		b.StartTimer()
 
 		got, ok := other.Apply(h.Since(other.Snapshot().Version()))
--- a/internal/placement/holder/down_test.go
+++ b/internal/placement/holder/down_test.go
@@ -19,8 +19,8 @@
 func (cl *cluster) reportUnreachable(entry, target instance.ID) {
 	cl.t.Helper()
 
-	m := cl.holders[cl.leaseHolder()]
-	assert.NilError(cl.t, m.Report(demand.Report{Entry: entry, Process: string(entry)}, []holder.Missing{{Target: target}}))
+	h := cl.holders[cl.leaseHolder()]
+	assert.NilError(cl.t, h.Report(demand.Report{Entry: entry, Process: string(entry)}, []holder.Missing{{Target: target}}))
 }
 
 // replicas returns the number of targets that hold a model in the latest
@@ -28,9 +28,9 @@
 func (cl *cluster) replicas(model string) int {
 	replicas := 0
 
-	for _, s := range cl.latest().Engines {
-		for _, h := range s.Resident {
-			if h.Model == model {
+	for _, state := range cl.latest().Engines {
+		for _, resident := range state.Resident {
+			if resident.Model == model {
 				replicas++
 			}
 		}
@@ -41,7 +41,7 @@
 
 // inSnapshot reports whether the latest snapshot contains a target.
 func (cl *cluster) inSnapshot(target instance.ID) bool {
-	return slices.ContainsFunc(cl.latest().Engines, func(s holder.EngineState) bool { return s.Target == target })
+	return slices.ContainsFunc(cl.latest().Engines, func(state holder.EngineState) bool { return state.Target == target })
 }
 
 // TestTargetDown guards against a crashed target whose models are loaded
@@ -80,7 +80,7 @@
 // TestSuspicionNeedsConfirmation guards against a target that is marked as
 // down because one entry, or the holder itself, does not reach it.
 func TestSuspicionNeedsConfirmation(t *testing.T) {
-	for name, play := range map[string]func(cl *cluster){
+	for name, fault := range map[string]func(cl *cluster){
 		"one entry": func(cl *cluster) { cl.reportUnreachable("e1", "w0") },
 		"the holder and its own entry": func(cl *cluster) {
 			cl.setUnresponsive("w0")
@@ -92,7 +92,7 @@
 				cl := newCluster(t, 3)
 
 				time.Sleep(5 * time.Second)
-				play(cl)
+				fault(cl)
 				time.Sleep(2 * time.Second)
 
 				assert.Equal(t, cl.replicas("m0"), 1)
@@ -114,10 +114,10 @@
 	return cl.born
 }
 
-// TestRestartedBeforeTheList guards against entries that send requests for
-// models that a target held before its restart, until the target list shows
-// the new process.
-func TestRestartedBeforeTheList(t *testing.T) {
+// TestRestartNotYetOnTargetList guards against entries that send requests for
+// models that a target held before its restart, until the target list shows the
+// new process.
+func TestRestartNotYetOnTargetList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newCluster(t, 1)
 
@@ -135,8 +135,8 @@
 		cl.processes = map[instance.ID]int64{"w0": 2}
 		cl.mu.Unlock()
 
-		m := cl.holders[cl.leaseHolder()]
-		assert.NilError(t, m.Report(demand.Report{Entry: "e1"}, []holder.Missing{{Target: "w0", Key: "s/m0"}}))
+		h := cl.holders[cl.leaseHolder()]
+		assert.NilError(t, h.Report(demand.Report{Entry: "e1"}, []holder.Missing{{Target: "w0", Key: "s/m0"}}))
 		time.Sleep(500 * time.Millisecond)
 		assert.Equal(t, cl.replicas("m0"), 0, "entries still send requests to it")
 
--- a/internal/placement/holder/feed.go
+++ b/internal/placement/holder/feed.go
@@ -14,30 +14,30 @@
 	// tried.
 	initialCapacity = 4
 	capacityStep    = 2
-	// slowFactor is the ratio of a finished load's duration to its configured
-	// one from which the store counts as overloaded, and overdueFactor the
-	// same for a load that has not ended.
+	// The store counts as overloaded when a finished load took at least
+	// slowFactor times its configured duration, or when a load that has not
+	// ended has taken more than overdueFactor times that.
 	slowFactor    = 1.3
 	overdueFactor = 1.6
-	// listDelay is the time between the end of a load and the row of the
-	// target list that shows it.
+	// listDelay is the assumed time between the end of a load and the row of
+	// the target list that shows it. See maxListDelay for its limit.
 	listDelay = 800 * time.Millisecond
 	// maxListGap is the time without a row of the target list after which the
-	// loads in flight say nothing about the capacity, because their ends may
+	// loads in flight are not used for the estimate, because their ends may
 	// have been missed.
 	maxListGap = 2500 * time.Millisecond
-	// probePause is the time for which a capacity that was too large is not
-	// tried again.
+	// probePause is the time after a slow load during which the estimate is not
+	// raised, so that a capacity that was too large is not tried again at once.
 	probePause = time.Minute
 )
 
 // storeCapacity estimates from the duration of loads how many concurrent loads
 // the weight store serves at full speed, which is configured nowhere. The zero
-// value has observed none.
+// value has observed no load.
 //
-// An estimate that is too high makes predictions too early, since the store
-// shares its bandwidth among more loads than it can serve at full speed. One
-// that is too low keeps targets waiting for a store that is not fully used.
+// With an estimate that is too high, loads end later than predicted, since the
+// store shares its bandwidth among more loads than it can serve at full speed.
+// With one that is too low, targets wait although the store is not fully used.
 type storeCapacity struct {
 	// estimate is the number of loads at full speed; zero means
 	// initialCapacity.
@@ -54,11 +54,14 @@
 
 // storeLoad is a load from the weight store that an engine has accepted.
 type storeLoad struct {
-	model       string
-	began       time.Time
-	expected    time.Duration
-	loadSeconds float64
-	unobserved  bool
+	model    string
+	began    time.Time
+	expected time.Duration
+	// startLoadSeconds is storeCapacity.loadSeconds at the start of the load.
+	startLoadSeconds float64
+	// listGap is true if no row of the target list arrived for maxListGap
+	// during the load, so that its end may have been missed.
+	listGap bool
 }
 
 // fullSpeed returns the number of concurrent loads that the store serves at
@@ -90,14 +93,17 @@
 		c.loads = make(map[instance.ID]storeLoad)
 	}
 
-	c.loads[id] = storeLoad{model: model, began: now, expected: max(expected, time.Second), loadSeconds: c.loadSeconds}
+	c.loads[id] = storeLoad{model: model, began: now, expected: max(expected, time.Second), startLoadSeconds: c.loadSeconds}
 }
 
-// observe applies a new row of the target list.
+// observe applies a new row of the target list. When the row shows that its
+// target's load has ended, the load is removed and the estimate updated. After
+// a gap of maxListGap without rows, the loads in flight are excluded from the
+// estimate.
 func (c *storeCapacity) observe(t inventory.Target, now time.Time) {
 	if now.Sub(c.lastRow) > maxListGap {
 		for id, l := range c.loads {
-			l.unobserved = true
+			l.listGap = true
 			c.loads[id] = l
 		}
 	}
@@ -105,8 +111,8 @@
 	c.lastRow = now
 	c.advance(now)
 
-	l, loads := c.loads[t.ID]
-	if !loads {
+	l, loading := c.loads[t.ID]
+	if !loading {
 		return
 	}
 
@@ -137,22 +143,26 @@
 	}
 }
 
-// adjust updates the estimate by a load that ended at the given time, or that
-// is still in flight then. loadSeconds must be up to date.
+// adjust updates the estimate from the duration of a load until the given time:
+// factor is slowFactor if the load ended then, and overdueFactor if it is still
+// in flight. The estimate is lowered if the load took at least factor times its
+// expected duration; only a load that has ended can raise it. loadSeconds must
+// be up to date.
 func (c *storeCapacity) adjust(l storeLoad, until time.Time, factor float64) {
 	took := until.Sub(l.began)
-	if l.unobserved || took <= 0 {
+	if l.listGap || took <= 0 {
 		return
 	}
 
-	others := (c.loadSeconds - l.loadSeconds) / c.at.Sub(l.began).Seconds()
+	// The mean number of loads in flight during the load, itself included.
+	concurrent := (c.loadSeconds - l.startLoadSeconds) / c.at.Sub(l.began).Seconds()
 	ratio := took.Seconds() / l.expected.Seconds()
 
 	switch {
 	case ratio >= factor:
-		c.estimate = max(1, min(c.fullSpeed(), others/ratio))
+		c.estimate = max(1, min(c.fullSpeed(), concurrent/ratio))
 		c.noProbeUntil = until.Add(probePause)
-	case factor == slowFactor && others+1 > c.fullSpeed() && until.After(c.noProbeUntil):
+	case factor == slowFactor && concurrent+1 > c.fullSpeed() && until.After(c.noProbeUntil):
 		c.estimate = c.fullSpeed() + capacityStep
 	}
 }
--- a/internal/placement/holder/history.go
+++ b/internal/placement/holder/history.go
@@ -27,8 +27,8 @@
 	index map[instance.ID]int
 	// step counts the snapshots recorded.
 	step uint64
-	// steps are the steps at which the engines of the snapshot changed, in the
-	// same order, and removed those at which targets disappeared.
+	// steps has the steps at which the engines of the snapshot last changed, in
+	// the same order, and removed those at which targets disappeared.
 	steps   []engineSteps
 	removed map[instance.ID]uint64
 	// versions are those of the last snapshots with their steps, the newest
@@ -70,21 +70,21 @@
 		h.reorder(latest.Engines)
 	}
 
-	stations := make([]EngineState, len(latest.Engines))
+	engines := make([]EngineState, len(latest.Engines))
 
 	for i := range latest.Engines {
-		stations[i] = h.updateEngine(i, &latest.Engines[i], now, minDiff)
+		engines[i] = h.updateEngine(i, &latest.Engines[i], now, minDiff)
 	}
 
 	h.snapshot, h.deltas = latest, nil
-	h.snapshot.Engines = stations
+	h.snapshot.Engines = engines
 	h.recordVersion(latest.Version())
 }
 
 // reorder brings the recorded engines into the order of a newer snapshot.
 func (h *History) reorder(latest []EngineState) {
 	index := make(map[instance.ID]int, len(latest))
-	stations := make([]EngineState, len(latest))
+	engines := make([]EngineState, len(latest))
 	steps := make([]engineSteps, len(latest))
 
 	for i := range latest {
@@ -92,7 +92,7 @@
 		index[id] = i
 
 		if j, known := h.index[id]; known {
-			stations[i], steps[i] = h.snapshot.Engines[j], h.steps[j]
+			engines[i], steps[i] = h.snapshot.Engines[j], h.steps[j]
 		} else {
 			delete(h.removed, id)
 		}
@@ -104,7 +104,7 @@
 		}
 	}
 
-	h.index, h.snapshot.Engines, h.steps = index, stations, steps
+	h.index, h.snapshot.Engines, h.steps = index, engines, steps
 }
 
 // sameTargets reports whether two lists have the same targets in the same
@@ -126,17 +126,17 @@
 // updateEngine returns the state to record for the engine at position i.
 // Running requests keep the recorded value if they differ by less than
 // minDiff.
-func (h *History) updateEngine(i int, s *EngineState, now time.Time, minDiff int) EngineState {
+func (h *History) updateEngine(i int, state *EngineState, now time.Time, minDiff int) EngineState {
 	old, steps := h.snapshot.Engines[i], &h.steps[i]
 
 	switch {
-	case steps.changed == 0 || !old.sameModels(s, now):
+	case steps.changed == 0 || !old.sameModels(state, now):
 		steps.changed = h.step
 
-		return *s
-	case !old.sameCounts(s, minDiff):
+		return *state
+	case !old.sameCounts(state, minDiff):
 		steps.counted = h.step
-		old.Running, old.WaitingEntries = s.Running, s.WaitingEntries
+		old.Running, old.WaitingEntries = state.Running, state.WaitingEntries
 	}
 
 	return old
@@ -157,11 +157,11 @@
 	// The order is kept, so that update rarely has to rebuild the index.
 	out.Engines = slices.Clone(h.snapshot.Engines)
 
-	for _, s := range d.Engines {
-		if i, known := h.index[s.Target]; known {
-			out.Engines[i] = s
+	for _, state := range d.Engines {
+		if i, known := h.index[state.Target]; known {
+			out.Engines[i] = state
 		} else {
-			out.Engines = append(out.Engines, s)
+			out.Engines = append(out.Engines, state)
 		}
 	}
 
@@ -177,13 +177,14 @@
 			gone[id] = true
 		}
 
-		out.Engines = slices.DeleteFunc(out.Engines, func(s EngineState) bool { return gone[s.Target] })
+		out.Engines = slices.DeleteFunc(out.Engines, func(state EngineState) bool { return gone[state.Target] })
 	}
 
 	return out, true
 }
 
-// recordVersion records a version and removes what only older ones need.
+// recordVersion records a version, and deletes the removals of targets that no
+// recorded version needs.
 func (h *History) recordVersion(v Version) {
 	h.versions = append(h.versions, versionStep{v, h.step})
 
@@ -200,7 +201,8 @@
 	}
 }
 
-// Since returns the changes since the snapshot that another entry has.
+// Since returns the delta from the snapshot with the given version, or the full
+// snapshot if that version is not recorded, or no longer.
 func (h *History) Since(base Version) Delta {
 	for _, v := range h.versions {
 		if v.Version == base {
@@ -235,13 +237,13 @@
 	d.Engines = nil
 
 	for i, steps := range h.steps {
-		s := &h.snapshot.Engines[i]
+		state := &h.snapshot.Engines[i]
 
 		switch {
 		case steps.changed > v.step:
-			d.Engines = append(d.Engines, *s)
+			d.Engines = append(d.Engines, *state)
 		case steps.counted > v.step:
-			d.Counts = append(d.Counts, EngineCounts{Target: s.Target, Running: s.Running, WaitingEntries: s.WaitingEntries})
+			d.Counts = append(d.Counts, EngineCounts{Target: state.Target, Running: state.Running, WaitingEntries: state.WaitingEntries})
 		}
 	}
 
--- a/internal/placement/holder/holder.go
+++ b/internal/placement/holder/holder.go
@@ -56,8 +56,9 @@
 	cfg     Config
 	started time.Time
 	wake    chan struct{}
-	// orders counts the goroutines that send orders.
-	orders sync.WaitGroup
+	// work counts the goroutines that send orders to engines or request their
+	// reports.
+	work sync.WaitGroup
 
 	mu    sync.Mutex
 	watch lease.Watch
@@ -67,8 +68,8 @@
 	// they hold.
 	ordersFrom, inventoryBy time.Time
 	demand                  demand.Reports
-	// shortRates follow the demand of the last seconds, and longRates that of
-	// about half a minute.
+	// shortRates and longRates are the request rates by model, smoothed over
+	// shortRateSpan and longRateSpan.
 	shortRates, longRates rates
 	engines               map[instance.ID]*trackedEngine
 	// churns measure how fast the targets of each service leave.
@@ -124,12 +125,13 @@
 	// slowRound is the duration from which a round is logged.
 	slowRound = 300 * time.Millisecond
 	// publishInterval is the time between snapshots when nothing changes. An
-	// entry that misses three checks the lease.
+	// entry that has missed three snapshots checks the lease.
 	publishInterval = 400 * time.Millisecond
 	// snapshotTimeout is the time without a snapshot after which an entry
 	// checks the lease.
 	snapshotTimeout = 1300 * time.Millisecond
-	// leaseCheckInterval is the time between two such checks.
+	// leaseCheckInterval is the time between two such checks by an entry of the
+	// first group. Later groups check less often, see watchGroup.
 	leaseCheckInterval = 400 * time.Millisecond
 	// firstLeaseCheck is how long after its start an entry that has received
 	// no snapshot checks the lease. By then it has received the membership, so
@@ -157,7 +159,8 @@
 			h.cfg.Log.Warn().Dur("took", took).Bool("holds", h.Holding()).Msg("slow decision round")
 		}
 
-		// Reports of many entries wake the holder hundreds of times a second.
+		// Wake does not shorten this pause, since reports of many entries wake
+		// the holder hundreds of times a second.
 		_ = clock.Sleep(ctx, min(restFactor*took, maxRest))
 
 		t := time.NewTimer(pause)
@@ -230,7 +233,7 @@
 		if m.Key == "" {
 			h.suspect(m.Target, r.Entry)
 		} else {
-			h.doubt(m)
+			h.recordMissing(m)
 		}
 	}
 
@@ -252,8 +255,8 @@
 	now := clock.Now()
 	h.snapshot, h.snapshotAt = next, now
 
-	released := lease.Record{Cell: cell, Holder: next.Holder, Process: next.Process, Token: next.Token, Released: next.Successor != "", Successor: next.Successor}
-	h.watch.Observe(next.LeaseVersion, released, now)
+	observed := lease.Record{Cell: cell, Holder: next.Holder, Process: next.Process, Token: next.Token, Released: next.Successor != "", Successor: next.Successor}
+	h.watch.Observe(next.LeaseVersion, observed, now)
 
 	if h.lease.Token != 0 && next.Token > h.lease.Token {
 		h.cfg.Log.Warn().Uint64("token", h.lease.Token).Str("holder", string(next.Holder)).Msg("lease lost")
--- a/internal/placement/holder/holder_test.go
+++ b/internal/placement/holder/holder_test.go
@@ -13,8 +13,9 @@
 	"github.com/fulmarcross/fulmarcross/internal/standin/worker"
 )
 
-// TestColdModel requests a model that is on two disks and in no memory. It
-// must be loaded once, on one target, within the time of a load from disk.
+// TestColdModel requests a model that is on the disks of all targets and in no
+// memory. It must be loaded once, on one target, within the time of a load from
+// disk.
 func TestColdModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newCluster(t, 3)
@@ -28,8 +29,8 @@
 
 		loads := 0
 
-		for _, one := range cl.workers {
-			for _, o := range one.Orders() {
+		for _, w := range cl.workers {
+			for _, o := range w.Orders() {
 				if !o.Unload && o.Outcome == holder.Accepted {
 					loads++
 				}
@@ -78,8 +79,8 @@
 
 				time.Sleep(5 * time.Second)
 
-				for _, one := range cl.workers {
-					one.SetFaults(faults)
+				for _, w := range cl.workers {
+					w.SetFaults(faults)
 				}
 
 				assert.Assert(t, cl.awaitServed("m6", 15*time.Second))
@@ -92,9 +93,10 @@
 }
 
 // TestTwoLateOrders delays the last order of a stopping holder and the first
-// order of its successor, both with the same sequence. The former's is carried
-// out first. If the successor took it for its own, it would count a small
-// model where a large one is and overcommit the memory.
+// order of its successor, both with the same sequence. The former holder's
+// order is carried out first. If the successor mistook that for its own order,
+// it would record a small model where a large one is loaded, and overcommit the
+// memory.
 func TestTwoLateOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := engine()
@@ -160,32 +162,32 @@
 
 		cl.mu.Lock()
 		cl.partitioned[dead] = true
-		m := cl.holders[dead]
+		h := cl.holders[dead]
 		delete(cl.holders, dead)
 		cl.mu.Unlock()
 
-		m.gate.Close()
-		m.stop()
+		h.gate.Close()
+		h.stop()
 		cl.setUnresponsive("w2")
 
 		for cl.leaseHolder() == "" {
 			time.Sleep(10 * time.Millisecond)
 		}
 
-		taken := time.Now()
+		acquired := time.Now()
 
-		// 0.9 s until the former holder's last order is over, 0.3 s for the
-		// unresponsive engine, and a load from disk of 1.5 s.
+		// 0.9 s until no order of the former holder can be in flight, 0.3 s for
+		// the unresponsive engine, and a load from disk of 1.5 s.
 		assert.Assert(t, cl.awaitServed("m7", 9*time.Second))
-		t.Logf("served %v after the lease was taken", time.Since(taken))
-		assert.Assert(t, time.Since(taken) < 3200*time.Millisecond)
+		t.Logf("served %v after the lease was acquired", time.Since(acquired))
+		assert.Assert(t, time.Since(acquired) < 3200*time.Millisecond)
 		cl.finish()
 	})
 }
 
 // TestHolderRestarts kills the holder's process and restarts it at once, as
-// after a power failure of the whole site. No other instance can have sent
-// orders in between, so requests must not wait for TurnPause.
+// after a power failure of the whole data centre. No other instance can have
+// sent orders in between, so requests must not wait for TurnPause.
 func TestHolderRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newCluster(t, 3)
@@ -209,9 +211,10 @@
 	})
 }
 
-// TestHolderPaused pauses the holder beyond its lease, with a swap decided,
-// and resumes it while another entry holds the lease. It must not send its
-// remaining orders.
+// TestHolderPaused pauses the holder after it has decided a swap, for half a
+// second to nine seconds, so that its lease may expire and another entry may
+// acquire it before the holder resumes. Without a valid lease the holder must
+// not send its remaining orders.
 func TestHolderPaused(t *testing.T) {
 	for pauseMs := 500; pauseMs <= 9000; pauseMs += 850 {
 		synctest.Test(t, func(t *testing.T) {
@@ -297,7 +300,7 @@
 }
 
 // TestRestartedEngine restarts the engines empty under the same ids. Their
-// former models must not count, and their sequences start again.
+// former models must not count as loaded, and their sequences start again.
 func TestRestartedEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newCluster(t, 1)
@@ -320,8 +323,8 @@
 }
 
 // TestBlockedRound blocks a round of the holder for a second, as when
-// publishing waits for an unresponsive entry after a power failure of the
-// whole site. If the holder paused four times as long, as after a round of
+// publishing waits for an unresponsive entry after a power failure of the whole
+// data centre. If the holder paused four times as long, as after a round of
 // computing, it would neither send orders nor renew the lease, and requests
 // would wait five seconds for another entry to take over.
 func TestBlockedRound(t *testing.T) {
--- a/internal/placement/holder/leaseterm.go
+++ b/internal/placement/holder/leaseterm.go
@@ -127,15 +127,17 @@
 		Dur("ordersIn", ordersFrom.Sub(sent)).Msg("lease taken")
 }
 
-// earliestOrder returns the time at which this holder may send its first
-// order.
+// earliestOrder returns the time at which this holder may send its first order.
 //
 // A former holder that released the lease has no orders in flight. Any other
-// may have sent its last order right before its lease expired. A process that
-// has just started may also follow one on the same instance that sent orders a
-// moment ago, with another holder in between. If that former process held the
-// lease until now, no other instance can have sent orders, and this holder
-// need not wait: orders of one instance count as orders of one holder.
+// may have sent its last order right before its lease expired. In addition, the
+// previous process of this instance may have sent orders shortly before it
+// stopped, even if another entry has held the lease since, so a new process
+// waits for TurnPause after its start.
+//
+// If the previous process of this instance held the lease last, no other
+// instance can have sent orders since, and this holder need not wait: orders of
+// one instance count as orders of one holder.
 func (h *Holder) earliestOrder(former lease.Record, now time.Time) time.Time {
 	if former.Token != 0 && former.Holder == h.cfg.Self {
 		return now
@@ -245,7 +247,7 @@
 	}
 
 	// Orders in flight must be resolved before another entry sends its own.
-	if clock.Wait(ctx, &h.orders) != nil {
+	if clock.Wait(ctx, &h.work) != nil {
 		h.cfg.Log.Warn().Msg("lease not released, orders are in flight")
 
 		return
--- a/internal/placement/holder/orders.go
+++ b/internal/placement/holder/orders.go
@@ -32,34 +32,34 @@
 	orderMargin = 20 * time.Millisecond
 )
 
-// swap unloads the models of m.Unload and loads m.Load.
-func (h *Holder) swap(ctx context.Context, eng *trackedEngine, m swap.Swap) {
-	sent := h.sendOrders(ctx, eng, m)
+// swap unloads the models of s.Unload and loads s.Load.
+func (h *Holder) swap(ctx context.Context, eng *trackedEngine, s swap.Swap) {
+	sent := h.sendOrders(ctx, eng, s)
 
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
 	if !sent {
-		eng.storeLoad = ""
+		eng.storeLoadModel = ""
 
 		return
 	}
 
 	now := clock.Now()
-	eng.loadEnds, eng.loadStarted, eng.unacceptedLoad = now.Add(m.LoadTime+orderMargin), now, ""
+	eng.loadEnds, eng.loadStarted, eng.unacceptedLoad = now.Add(s.LoadTime+orderMargin), now, ""
 
-	if resident := eng.models[m.Load]; resident != nil {
+	if resident := eng.models[s.Load]; resident != nil {
 		resident.ready, resident.used = eng.loadEnds, now
 	}
 
 	e := h.engineConfig(eng)
 
-	if eng.storeLoad != "" {
-		h.storeCapacity(eng.target.Service).start(eng.target.ID, m.Load, e.Models[m.Load].FromStore, now)
+	if eng.storeLoadModel != "" {
+		h.storeCapacity(eng.target.Service).start(eng.target.ID, s.Load, e.Models[s.Load].FromStore, now)
 	}
 
 	// A load leaves copies in host memory and on disk.
-	eng.copies.recordLoad(m.Load, e, eng.loadEnds)
+	eng.copies.recordLoad(s.Load, e, eng.loadEnds)
 	eng.localTiers = eng.copies.tiers()
 	h.published = false
 }
@@ -76,14 +76,14 @@
 }
 
 // sendOrders sends a swap's orders and reports whether the load has started.
-func (h *Holder) sendOrders(ctx context.Context, eng *trackedEngine, m swap.Swap) bool {
-	for _, model := range m.Unload {
+func (h *Holder) sendOrders(ctx context.Context, eng *trackedEngine, s swap.Swap) bool {
+	for _, model := range s.Unload {
 		if !h.sendOrder(ctx, eng, Order{Unload: true, Model: model}) {
 			return false
 		}
 	}
 
-	return h.sendOrder(ctx, eng, Order{Model: m.Load})
+	return h.sendOrder(ctx, eng, Order{Model: s.Load})
 }
 
 // loadAdapter loads an adapter, after unloading an idle one if one is given.
@@ -123,7 +123,7 @@
 // If not, the engine is no longer synced and will be asked for a report.
 func (h *Holder) sendOrder(ctx context.Context, eng *trackedEngine, o Order) bool {
 	began := clock.Now()
-	tries := 0
+	attempts := 0
 
 	for {
 		if !h.stamp(eng, &o) {
@@ -142,13 +142,13 @@
 		case out == Accepted || out == AlreadyDone:
 			h.recordAccepted(eng, o, out)
 			h.cfg.Log.Info().Str("target", string(eng.origin.ID)).Str("model", o.Model).Str("adapter", o.Adapter).Bool("unload", o.Unload).
-				Uint64("sequence", o.Sequence).Int("tries", tries+1).Dur("took", clock.Now().Sub(began)).Msg("order accepted")
+				Uint64("sequence", o.Sequence).Int("tries", attempts+1).Dur("took", clock.Now().Sub(began)).Msg("order accepted")
 
 			return true
 		case out == Busy && clock.Now().Sub(began) < busyTimeout:
-			tries++
+			attempts++
 
-			if clock.Sleep(ctx, busyRetryDelay) != nil || tries%busyReportEvery == 0 && h.sequenceDiffers(ctx, eng, o) {
+			if clock.Sleep(ctx, busyRetryDelay) != nil || attempts%busyReportEvery == 0 && h.sequenceDiffers(ctx, eng, o) {
 				return h.failOrder(eng, o, out)
 			}
 		default:
@@ -157,8 +157,9 @@
 	}
 }
 
-// sequenceDiffers reports whether an engine that declines an order is not busy
-// but has accepted orders that this holder has not recorded.
+// sequenceDiffers reports whether an engine that answered Busy is not carrying
+// out an order but has another sequence than the order expects, as after orders
+// that this holder has not recorded.
 func (h *Holder) sequenceDiffers(ctx context.Context, eng *trackedEngine, o Order) bool {
 	r, err := h.report(ctx, eng)
 
@@ -193,8 +194,10 @@
 	return h.cfg.Engines.Order(ctx, eng.origin, o)
 }
 
-// recordAccepted counts an order. Engines don't count an order that had
-// nothing to do, except the unload of an adapter, which is done at once.
+// recordAccepted counts an order that the engine accepted. Of the orders that
+// were already done it counts only unloads: an engine unloads an adapter at
+// once, counts the order and answers AlreadyDone, whereas it does not count a
+// load that had nothing to do.
 func (h *Holder) recordAccepted(eng *trackedEngine, o Order, out Outcome) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/placement/holder/predict.go
+++ b/internal/placement/holder/predict.go
@@ -10,27 +10,27 @@
 // is published.
 const predictionStep = 300 * time.Millisecond
 
-// predict records when models of a service become ready that the weight store
-// cannot load yet. Entries refuse at once the requests that cannot wait so
-// long, and return that time for a retry.
+// predict records when those models of a service become ready that must wait
+// for the weight store. Entries refuse at once the requests that cannot wait
+// that long, and return the predicted time for a retry.
 func (h *Holder) predict(service string, ready map[string]time.Duration, now time.Time) {
 	var predictions []Prediction
 
-	for _, w := range h.predictions {
-		if name, _, _ := splitKey(w.Key); name != service {
-			predictions = append(predictions, w)
+	for _, p := range h.predictions {
+		if name, _, _ := splitKey(p.Key); name != service {
+			predictions = append(predictions, p)
 		}
 	}
 
-	firstPublished := h.predictedSince(service)
+	since := h.predictedSince(service)
 
 	for model, delay := range ready {
-		w := Prediction{Key: service + "/" + model, Ready: now.Add(delay), Since: now}
-		if since, ok := firstPublished[model]; ok {
-			w.Since = since
+		p := Prediction{Key: service + "/" + model, Ready: now.Add(delay), Since: now}
+		if first, ok := since[model]; ok {
+			p.Since = first
 		}
 
-		predictions = append(predictions, w)
+		predictions = append(predictions, p)
 	}
 
 	slices.SortFunc(predictions, func(a, b Prediction) int { return strings.Compare(a.Key, b.Key) })
@@ -44,14 +44,14 @@
 	}
 }
 
-// predictedSince returns when the holder first published the current
-// prediction for each model of a service.
+// predictedSince returns when the holder first made the current prediction for
+// each model of a service.
 func (h *Holder) predictedSince(service string) map[string]time.Time {
 	out := make(map[string]time.Time, len(h.predictions))
 
-	for _, w := range h.predictions {
-		if name, model, _ := splitKey(w.Key); name == service {
-			out[model] = w.Since
+	for _, p := range h.predictions {
+		if name, model, _ := splitKey(p.Key); name == service {
+			out[model] = p.Since
 		}
 	}
 
--- a/internal/placement/holder/rates.go
+++ b/internal/placement/holder/rates.go
@@ -7,11 +7,11 @@
 
 const (
 	// shortRateSpan is the time constant for smoothing a model's request rate.
-	// It is long enough to tell a busy model from a rare one, and short
-	// compared to the time in which the set of busy models changes.
+	// It is long enough to distinguish busy models from rarely used ones, and
+	// short compared to the time in which the set of busy models changes.
 	shortRateSpan = 6 * time.Second
-	// longRateSpan is the same for decisions with a longer effect: a load from
-	// the weight store serves the demand of the next half minute.
+	// longRateSpan is the time constant for decisions with a longer effect: a
+	// load from the weight store serves the demand of the next half minute.
 	longRateSpan = 20 * time.Second
 )
 
--- a/internal/placement/holder/replacement_test.go
+++ b/internal/placement/holder/replacement_test.go
@@ -17,8 +17,7 @@
 )
 
 const (
-	// rareModels is the number of models that are requested now and then,
-	// beside the busy one.
+	// rareModels is the number of rarely requested models, beside the busy one.
 	rareModels = 23
 	// replacedTargets is the number of targets, of which one is replaced by an
 	// empty one every other second.
@@ -29,7 +28,8 @@
 	concurrentLoads = 4
 	// busyTarget is the first of the two targets that hold the busy model.
 	busyTarget = 3
-	// busyRequestTimeout and rareRequestTimeout are how long requests wait.
+	// busyRequestTimeout and rareRequestTimeout are how long requests for the
+	// busy model and for rare ones wait.
 	busyRequestTimeout = 1500 * time.Millisecond
 	rareRequestTimeout = 5600 * time.Millisecond
 	runTime            = 300 * time.Millisecond
@@ -42,7 +42,7 @@
 	leaveDelay = time.Second
 )
 
-// waitingRequest is a request that waits.
+// waitingRequest is a request for a model that times out at until.
 type waitingRequest struct {
 	model string
 	until time.Time
@@ -72,11 +72,12 @@
 	return out
 }
 
-// oracle reports whether a scheduler that knew the whole schedule could serve
-// a request for the model that arrives then. It has a replica of the busy
-// model in time. Of the other models it has those whose targets have not left,
-// and those that the weight store has loaded since the first empty target
-// joined, in the order in which their targets leave.
+// oracle reports whether a scheduler with the whole schedule as input could
+// serve a request for the model that arrives at the given time. Such a
+// scheduler loads a replica of the busy model in time. Of the rare models it
+// can serve those whose targets have not left, and those that the weight store
+// can load until the request times out, beginning when the first empty target
+// joins, in the order in which their targets leave.
 func oracle(model string, at time.Duration) bool {
 	if model == "m0" {
 		return true
@@ -115,19 +116,19 @@
 	}
 
 	predicted := make(map[string]time.Time)
-	for _, wait := range c.cl.latest().Predictions {
-		predicted[wait.Key] = wait.Ready
+	for _, prediction := range c.cl.latest().Predictions {
+		predicted[prediction.Key] = prediction.Ready
 	}
 
 	var unfinished []waitingRequest
 
-	for _, p := range c.waiting {
+	for _, request := range c.waiting {
 		switch {
-		case c.tryRun(p.model):
-			c.served[p.model == "m0"]++
-		case now.After(p.until) || predicted["s/"+p.model].After(p.until):
+		case c.tryRun(request.model):
+			c.served[request.model == "m0"]++
+		case now.After(request.until) || predicted["s/"+request.model].After(request.until):
 		default:
-			unfinished = append(unfinished, p)
+			unfinished = append(unfinished, request)
 		}
 	}
 
@@ -140,8 +141,8 @@
 	c.cl.mu.Lock()
 	defer c.cl.mu.Unlock()
 
-	for id, one := range c.cl.workers {
-		if c.cl.leaving[id] || !one.Begin("r", model, "") {
+	for id, w := range c.cl.workers {
+		if c.cl.leaving[id] || !w.Begin("r", model, "") {
 			continue
 		}
 
@@ -149,7 +150,7 @@
 		c.running[k]++
 
 		time.AfterFunc(runTime, func() {
-			one.End(model)
+			w.End(model)
 
 			c.cl.mu.Lock()
 			defer c.cl.mu.Unlock()
@@ -172,13 +173,13 @@
 		delete(c.arrived, model)
 	}
 
-	for _, p := range c.waiting {
-		if demands[p.model] == nil {
-			demands[p.model] = &replica.Demand{Model: "s/" + p.model}
+	for _, request := range c.waiting {
+		if demands[request.model] == nil {
+			demands[request.model] = &replica.Demand{Model: "s/" + request.model}
 		}
 
-		demands[p.model].Waiting++
-		demands[p.model].Deadline = p.until
+		demands[request.model].Waiting++
+		demands[request.model].Deadline = request.until
 	}
 
 	for _, d := range demands {
@@ -191,8 +192,8 @@
 	}
 	c.cl.mu.Unlock()
 
-	for _, m := range c.cl.holders {
-		if m.Report(r, nil) == nil {
+	for _, h := range c.cl.holders {
+		if h.Report(r, nil) == nil {
 			return
 		}
 	}
@@ -200,10 +201,10 @@
 
 // TestReplacement replaces all targets of a service by empty ones, one after
 // the other, under steady demand for a busy model and many rare ones. The
-// weights on the old targets' disks go with them, and the weight store loads
-// four models in six seconds. At least 99 % of the requests for the busy model
-// must be served, and of those for the rare models at least half as many as
-// the oracle serves. It guards against loads chosen by deadline alone, which
+// weights on the old targets' disks are lost with them, and the weight store
+// loads four models in six seconds. At least 99 % of the requests for the busy
+// model must be served, and of those for the rare models at least half as many
+// as the oracle serves. It guards against loads chosen by deadline alone, which
 // go to rare models while the busy one is on no target for seconds.
 func TestReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -217,16 +218,16 @@
 
 		cl := newClusterOf(t, 1, e, 0)
 		for i := range replacedTargets {
-			one := &worker.Worker{Engine: e, Holding: []string{fmt.Sprintf("m%d", i)}}
+			w := &worker.Worker{Engine: e, Holding: []string{fmt.Sprintf("m%d", i)}}
 			for n := i; n <= rareModels; n += replacedTargets {
-				one.OnDisk = append(one.OnDisk, fmt.Sprintf("m%d", n))
+				w.OnDisk = append(w.OnDisk, fmt.Sprintf("m%d", n))
 			}
 
 			if i == busyTarget || i == busyTarget+1 {
-				one.Holding = []string{"m0"}
+				w.Holding = []string{"m0"}
 			}
 
-			cl.join(instance.ID(fmt.Sprintf("old%d", i)), one)
+			cl.join(instance.ID(fmt.Sprintf("old%d", i)), w)
 		}
 
 		for i := range replacedTargets {
@@ -254,11 +255,11 @@
 	})
 }
 
-func (cl *cluster) join(id instance.ID, one *worker.Worker) {
+func (cl *cluster) join(id instance.ID, w *worker.Worker) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 
-	cl.workers[id] = one
+	cl.workers[id] = w
 }
 
 func (cl *cluster) leave(id instance.ID) {
--- a/internal/placement/holder/snapshot.go
+++ b/internal/placement/holder/snapshot.go
@@ -19,10 +19,10 @@
 	// LeaseVersion is the version of the lease row, so that entries see
 	// renewals without reading the row.
 	LeaseVersion uint64
-	// ConfigVersion is the version of the configuration that the holder has in force.
-	// ListVersion is the version of the target list at the last change of which
-	// targets may be used. Entries with older versions read the store at once;
-	// the others need not.
+	// ConfigVersion is the version of the configuration that the holder has in
+	// force. ListVersion is the version that the target list had when the set
+	// of usable targets last changed. Entries with older versions read the
+	// store at once; the others need not.
 	ConfigVersion, ListVersion uint64
 	// StoreAge is how long ago the holder last read the store. Above a limit
 	// the other entries must read it themselves.
@@ -35,8 +35,8 @@
 	Predictions []Prediction
 }
 
-// Prediction predicts when a model becomes ready that is neither on a target nor
-// being loaded.
+// Prediction is the predicted ready time of a model that is neither on a target
+// nor being loaded.
 type Prediction struct {
 	Key   string
 	Ready time.Time
@@ -82,7 +82,7 @@
 	Ready time.Time
 }
 
-// Missing reports that a target answered that it does not hold the model or
+// Missing is an entry's report of a target that does not hold the model or
 // adapter Key, contrary to the snapshot. An empty Key means that the target
 // accepts no connection.
 type Missing struct {
@@ -117,7 +117,8 @@
 const (
 	// Accepted means that the order is being carried out.
 	Accepted Outcome = iota
-	// AlreadyDone means that there was nothing to do, or that it is already done.
+	// AlreadyDone means that there was nothing to do, or that the order has
+	// already been carried out.
 	AlreadyDone
 	// Busy means that another order is being carried out or that the sequence
 	// differs.
--- a/internal/placement/holder/station.go
+++ b/internal/placement/holder/station.go
@@ -16,10 +16,10 @@
 
 // trackedEngine is the holder's record of one engine.
 //
-// Every order names the sequence number that the engine must have, and models
-// is what the engine held at that sequence. So the engine refuses an order
-// that was decided on outdated state or that arrives seconds late, and its
-// memory is never overcommitted.
+// Every order contains the sequence number that the engine must have, and
+// models is what the engine held at that sequence. So the engine refuses an
+// order that was decided on outdated state or that arrives seconds late, and
+// its memory is never overcommitted.
 type trackedEngine struct {
 	// origin is the target as it was when the record was created. Orders are
 	// addressed to it, and it does not change.
@@ -43,31 +43,33 @@
 	// newest.
 	reportedAt       time.Time
 	reportedSequence uint64
-	// down is true when neither an entry nor this holder reaches the engine.
-	// suspectedAt is when an entry last failed to reach it.
+	// down is true when both this holder and at least one entry have failed to
+	// reach the engine. suspectedAt is when an entry last failed to reach it.
 	down        bool
 	suspectedAt time.Time
-	// doubtedAt is when an entry last found a model missing, or when the
-	// engine was last asked for a report.
-	doubtedAt time.Time
-	// busySince is the time since which the engine has reported that it is
-	// carrying out an order whose end this holder cannot predict. Zero means
-	// that it is not.
+	// lastCheck is when an entry last found a model missing or the engine was
+	// last asked for a report, whichever is later.
+	lastCheck time.Time
+	// busySince is when the engine first reported that it is carrying out an
+	// order of unknown duration, such as one of another holder. Zero means that
+	// it is not.
 	busySince time.Time
-	// loadEnds is when the last model load is expected to end.
+	// loadEnds is when the last model load is expected to end, or has ended.
+	// While a load from the weight store is overdue, it is when the engine is
+	// next asked for a report.
 	loadEnds time.Time
-	// unacceptedLoad is a model whose load was decided and, as far as is
-	// known, not yet accepted. loadTime is the duration of that load once it
-	// is accepted.
+	// unacceptedLoad is a model whose load was decided and, as far as is known,
+	// not yet accepted. loadTime is the planned duration of the last load that
+	// was decided, from its acceptance on.
 	unacceptedLoad string
 	loadTime       time.Duration
-	// storeLoad is the model of a load from the weight store that was decided
-	// and, as far as is known, has not ended, or empty. It is set before the
-	// load's orders are sent: rounds follow each other faster than engines
-	// accept orders, and each would start as many loads as the store serves at
-	// full speed.
-	storeLoad string
-	// loadStarted is when that load's order was accepted.
+	// storeLoadModel is the model of a load from the weight store that was
+	// decided and, as far as is known, has not ended, or empty. It is set
+	// before the load's orders are sent. Otherwise each round of decisions
+	// until the engine accepts the order would start as many loads as the store
+	// serves at full speed.
+	storeLoadModel string
+	// loadStarted is when the order of the last load was accepted.
 	loadStarted time.Time
 }
 
@@ -172,7 +174,7 @@
 
 // risk returns the probability that a target of the service is gone before its
 // models have been loaded elsewhere.
-func (h *Holder) risk(service string, v *swap.Snapshot) float64 {
+func (h *Holder) risk(service string, input *swap.Snapshot) float64 {
 	c := h.churns[service]
 	if c == nil {
 		return minRisk
@@ -180,17 +182,18 @@
 
 	serving := 0
 
-	for i := range v.Targets {
-		if v.Targets[i].Serving {
+	for i := range input.Targets {
+		if input.Targets[i].Serving {
 			serving++
 		}
 	}
 
-	return c.risk(serving, replicaLoads*slowestLoad(v.Engine), v.Now)
+	return c.risk(serving, replicaLoads*slowestLoad(input.Engine), input.Now)
 }
 
-// replicaLoads is the number of consecutive loads from the weight store until a
-// replica of a model is ready elsewhere, since other loads come first.
+// replicaLoads is the assumed number of consecutive loads from the weight store
+// until a replica of a lost model is ready elsewhere, since other loads come
+// first.
 const replicaLoads = 3
 
 func slowestLoad(e *route.Engine) time.Duration {
@@ -208,14 +211,14 @@
 	eng.localTiers = eng.copies.tiers()
 }
 
-// listLag is the time after the expected end of a load by which the target
+// maxListDelay is the time after the expected end of a load by which the target
 // list must show it.
-const listLag = 1500 * time.Millisecond
+const maxListDelay = 1500 * time.Millisecond
 
 // compareRow marks the engine as not synced when a new row of the target list
 // shows other models than those that should be loaded by now.
 func (eng *trackedEngine) compareRow(t inventory.Target, now time.Time) {
-	if !eng.synced || eng.inFlight || now.Before(eng.loadEnds.Add(listLag)) {
+	if !eng.synced || eng.inFlight || now.Before(eng.loadEnds.Add(maxListDelay)) {
 		return
 	}
 
@@ -267,13 +270,13 @@
 	}
 }
 
-// resetIfRestarted clears the record when a report comes from another process
-// than the recorded one, which holds none of the models and counts orders from
-// zero. It reports whether it did.
+// resetIfRestarted clears the record when a report comes from a new process of
+// the engine, and reports whether it did. The new process holds none of the
+// recorded models and counts orders from zero.
 //
-// An engine that restarts under the same id sends reports that look older than
-// the last order. Without the reset, entries would send requests for the
-// former models until the target list shows the new process.
+// The reports of a restarted engine have a lower sequence than the last order,
+// so they would be ignored as outdated. Without the reset, entries would send
+// requests for the former models until the target list shows the new process.
 func (eng *trackedEngine) resetIfRestarted(r Report) bool {
 	known := eng.born
 	if known == 0 {
@@ -294,17 +297,17 @@
 	return true
 }
 
-func lastUse(p *trackedAdapter) time.Time {
-	if p == nil {
+func lastUse(a *trackedAdapter) time.Time {
+	if a == nil {
 		return time.Time{}
 	}
 
-	return p.used
+	return a.used
 }
 
-// adoptSnapshot starts a lease term with the former holder's last snapshot.
-// Orders name the sequence, so engines refuse those that rest on outdated
-// state.
+// adoptSnapshot starts a lease term with the state in the former holder's last
+// snapshot. That state may be outdated: each order contains the sequence that
+// it was decided on, and the engine refuses it if its own sequence differs.
 func (h *Holder) adoptSnapshot() {
 	h.engines = make(map[instance.ID]*trackedEngine)
 	now := clock.Now()
@@ -336,20 +339,22 @@
 	}
 }
 
-// doubt records that a target did not hold a key for an entry. A load that
-// ends up to loadGrace later than predicted is no reason to request a report.
-func (h *Holder) doubt(m Missing) {
+// recordMissing marks an engine as not synced after an entry found that it does
+// not hold a model or adapter, so that the holder requests a report. It does
+// nothing until loadGrace after the predicted end of the last load, since loads
+// may end that late, nor within loadGrace of the last check.
+func (h *Holder) recordMissing(m Missing) {
 	eng := h.engines[m.Target]
 	if eng == nil || eng.inFlight {
 		return
 	}
 
 	now := clock.Now()
-	if now.Before(eng.loadEnds.Add(loadGrace)) || now.Sub(eng.doubtedAt) < loadGrace {
+	if now.Before(eng.loadEnds.Add(loadGrace)) || now.Sub(eng.lastCheck) < loadGrace {
 		return
 	}
 
-	eng.doubtedAt, eng.synced = now, false
+	eng.lastCheck, eng.synced = now, false
 }
 
 // serves reports whether entries send requests to the engine.
@@ -390,7 +395,7 @@
 const loadGrace = 700 * time.Millisecond
 
 // minWaitingEntries is the smallest published number of waiting entries.
-// Differences below it are not worth a new snapshot.
+// Differences below it cause no new snapshot.
 const minWaitingEntries = 8
 
 // roundWaitingEntries rounds n up to a power of two, at least
--- a/internal/placement/holder/store_test.go
+++ b/internal/placement/holder/store_test.go
@@ -19,8 +19,8 @@
 func maxStoreLoads(cl *cluster, takes time.Duration) int {
 	var begins []time.Time
 
-	for _, one := range cl.workers {
-		for _, o := range one.Orders() {
+	for _, w := range cl.workers {
+		for _, o := range w.Orders() {
 			if !o.Unload && o.Outcome == 0 {
 				begins = append(begins, o.At)
 			}
@@ -92,11 +92,11 @@
 			cl.ask(models...)
 
 			snapshot := cl.latest()
-			for _, wait := range snapshot.Predictions {
-				assert.Assert(t, time.Until(wait.Ready) < 25*time.Second, "%s in %s", wait.Key, time.Until(wait.Ready))
-				assert.Assert(t, !slices.ContainsFunc(snapshot.Engines, func(s holder.EngineState) bool {
-					return slices.ContainsFunc(s.Resident, func(h holder.ResidentModel) bool { return "s/"+h.Model == wait.Key })
-				}), "%s is loaded", wait.Key)
+			for _, p := range snapshot.Predictions {
+				assert.Assert(t, time.Until(p.Ready) < 25*time.Second, "%s in %s", p.Key, time.Until(p.Ready))
+				assert.Assert(t, !slices.ContainsFunc(snapshot.Engines, func(state holder.EngineState) bool {
+					return slices.ContainsFunc(state.Resident, func(resident holder.ResidentModel) bool { return "s/"+resident.Model == p.Key })
+				}), "%s is loaded", p.Key)
 			}
 
 			most = max(most, len(snapshot.Predictions))
@@ -115,12 +115,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		full := []string{"m0", "m1", "m2"}
 		cl := newClusterOf(t, 1, engine(), 0)
-		one := &worker.Worker{Engine: cl.routes.Services["s"].Engine, Holding: full, OnDisk: []string{"m6"}}
-		cl.join("w0", one)
+		w := &worker.Worker{Engine: cl.routes.Services["s"].Engine, Holding: full, OnDisk: []string{"m6"}}
+		cl.join("w0", w)
 		time.Sleep(5 * time.Second)
 
 		for _, model := range full {
-			assert.Assert(t, one.Begin("r", model, ""))
+			assert.Assert(t, w.Begin("r", model, ""))
 		}
 
 		served := false
@@ -131,7 +131,7 @@
 
 			if step == 50 {
 				for _, model := range full {
-					one.End(model)
+					w.End(model)
 				}
 			}
 
@@ -139,8 +139,8 @@
 				continue
 			}
 
-			assert.Assert(t, one.Begin("r", "m6", ""), "ready is published %s after the start", time.Duration(step)*50*time.Millisecond)
-			one.End("m6")
+			assert.Assert(t, w.Begin("r", "m6", ""), "ready is published %s after the start", time.Duration(step)*50*time.Millisecond)
+			w.End("m6")
 
 			served = true
 		}
@@ -164,8 +164,8 @@
 				}
 
 				cl := newClusterOf(t, 1, engine(), 0)
-				one := &worker.Worker{Engine: slow}
-				cl.join("w0", one)
+				w := &worker.Worker{Engine: slow}
+				cl.join("w0", w)
 				time.Sleep(5 * time.Second)
 
 				began := time.Now()
@@ -175,9 +175,9 @@
 					time.Sleep(10 * time.Millisecond)
 				}
 
-				assert.Assert(t, one.Begin("r", "m6", ""), "ready is published after %s", time.Since(began))
+				assert.Assert(t, w.Begin("r", "m6", ""), "ready is published after %s", time.Since(began))
 				assert.Assert(t, time.Since(began) < takes+time.Second, "ready is published after %s", time.Since(began))
-				one.End("m6")
+				w.End("m6")
 				cl.finish()
 			})
 		})
@@ -187,7 +187,9 @@
 // isReady reports whether entries with the snapshot send requests for a model
 // to a target.
 func isReady(snapshot holder.Snapshot, id instance.ID, model string) bool {
-	return slices.ContainsFunc(snapshot.Engines, func(s holder.EngineState) bool {
-		return s.Target == id && slices.ContainsFunc(s.Resident, func(h holder.ResidentModel) bool { return h.Model == model && !h.Ready.After(time.Now()) })
+	return slices.ContainsFunc(snapshot.Engines, func(state holder.EngineState) bool {
+		return state.Target == id && slices.ContainsFunc(state.Resident, func(resident holder.ResidentModel) bool {
+			return resident.Model == model && !resident.Ready.After(time.Now())
+		})
 	})
 }
--- a/internal/placement/holder/storecapacity_test.go
+++ b/internal/placement/holder/storecapacity_test.go
@@ -11,9 +11,9 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/inventory"
 )
 
-// simulateStore keeps as many loads in flight as the estimate allows, on a
-// store that shares its bandwidth among more than it serves at full speed, and
-// returns the final estimate.
+// simulateStore keeps as many loads in flight as the estimate allows and
+// returns the final estimate. The simulated store serves capacity loads at full
+// speed and shares its bandwidth among them if there are more.
 func simulateStore(capacity int, span, load time.Duration, outage bool) float64 {
 	var c storeCapacity
 
--- a/internal/placement/holder/world_test.go
+++ b/internal/placement/holder/world_test.go
@@ -31,8 +31,8 @@
 
 const turnPause = 3 * time.Second
 
-// cluster has holders h0, h1, … and workers that hold two of eight models
-// each, on a store that can fail.
+// cluster has holders h0, h1, …, workers that by default hold two of eight
+// models each, and a store that can fail.
 type cluster struct {
 	t       *testing.T
 	table   platform.Platform
@@ -47,10 +47,10 @@
 	unresponsive instance.ID
 	// rows are the rows of the target list as they were last written.
 	rows map[instance.ID]inventory.Target
-	// leaving are the workers that take no new work.
+	// leaving are the workers that accept no new requests.
 	leaving map[instance.ID]bool
-	// born identifies the workers' processes on the target list, and processes
-	// those that report another one.
+	// born identifies the process of every worker on the target list. processes
+	// has the workers that report another process than that.
 	born      int64
 	processes map[instance.ID]int64
 	// last is the newest snapshot.
@@ -61,7 +61,7 @@
 	extraDelay time.Duration
 }
 
-// testHolder is a holder with what pauses and stops it.
+// testHolder is a holder that tests can pause, with gate, and stop.
 type testHolder struct {
 	*holder.Holder
 
@@ -118,18 +118,18 @@
 // startAs starts a holder with the given process name.
 func (cl *cluster) startAs(ctx context.Context, id instance.ID, process string) {
 	ctx, stop := context.WithCancel(ctx)
-	m := &testHolder{stop: stop}
-	m.Holder = holder.New(holder.Config{
-		Self: id, Process: process, Table: gatedTable{&cl.table, &m.gate}, Engines: gatedEngines{cl, &m.gate}, Timing: timing, TurnPause: turnPause,
+	h := &testHolder{stop: stop}
+	h.Holder = holder.New(holder.Config{
+		Self: id, Process: process, Table: gatedTable{&cl.table, &h.gate}, Engines: gatedEngines{cl, &h.gate}, Timing: timing, TurnPause: turnPause,
 		Targets: cl.targets, Routes: func() *route.Config { return cl.routes }, Peers: func() []holder.Candidate { return cl.candidates(id) },
-		Publish: func(n holder.Snapshot) { cl.publish(id, n) }, Log: zerolog.Nop(),
+		Publish: func(snapshot holder.Snapshot) { cl.publish(id, snapshot) }, Log: zerolog.Nop(),
 	})
 
 	cl.mu.Lock()
-	cl.holders[id] = m
+	cl.holders[id] = h
 	cl.mu.Unlock()
 
-	go m.Run(ctx)
+	go h.Run(ctx)
 }
 
 // candidates returns the other holders, all of unknown strength.
@@ -160,10 +160,10 @@
 	return out
 }
 
-func (cl *cluster) publish(from instance.ID, n holder.Snapshot) {
+func (cl *cluster) publish(from instance.ID, snapshot holder.Snapshot) {
 	cl.mu.Lock()
 	partitioned := cl.partitioned[from]
-	cl.last = n
+	cl.last = snapshot
 	delay := cl.publishDelay
 	cl.publishDelay = 0
 	cl.mu.Unlock()
@@ -177,11 +177,11 @@
 	for _, id := range cl.peers(from) {
 		go func() {
 			cl.mu.Lock()
-			m := cl.holders[id]
+			h := cl.holders[id]
 			cl.mu.Unlock()
 
-			if m != nil && m.gate.Wait(cl.t.Context()) == nil {
-				m.Receive(n)
+			if h != nil && h.gate.Wait(cl.t.Context()) == nil {
+				h.Receive(snapshot)
 			}
 		}()
 	}
@@ -199,9 +199,9 @@
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 
-	for id, one := range cl.workers {
+	for id, w := range cl.workers {
 		old := cl.rows[id]
-		row := one.Describe(inventory.Target{ID: id, Service: "s", Slots: 8, StartedMs: cl.born, Leaving: cl.leaving[id], Version: old.Version})
+		row := w.Describe(inventory.Target{ID: id, Service: "s", Slots: 8, StartedMs: cl.born, Leaving: cl.leaving[id], Version: old.Version})
 
 		if !reflect.DeepEqual(row, old) {
 			row.Version++
@@ -332,8 +332,8 @@
 		r.Waiting = append(r.Waiting, replica.Demand{Model: "s/" + model, Waiting: 1, Deadline: time.Now().Add(10 * time.Second)})
 	}
 
-	for _, m := range cl.holders {
-		if m.Report(r, nil) == nil {
+	for _, h := range cl.holders {
+		if h.Report(r, nil) == nil {
 			return
 		}
 	}
@@ -347,9 +347,9 @@
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		cl.ask(key)
 
-		for _, one := range cl.workers {
-			if one.Begin("r", name, adapter) {
-				one.End(name)
+		for _, w := range cl.workers {
+			if w.Begin("r", name, adapter) {
+				w.End(name)
 
 				return true
 			}
@@ -371,8 +371,8 @@
 
 // leaseHolder returns the holder of the lease, or an empty id.
 func (cl *cluster) leaseHolder() instance.ID {
-	for id, m := range cl.holders {
-		if m.Holding() {
+	for id, h := range cl.holders {
+		if h.Holding() {
 			return id
 		}
 	}
@@ -393,8 +393,8 @@
 
 func (cl *cluster) all() []*worker.Worker {
 	all := make([]*worker.Worker, 0, len(cl.workers))
-	for _, one := range cl.workers {
-		all = append(all, one)
+	for _, w := range cl.workers {
+		all = append(all, w)
 	}
 
 	return all
@@ -403,14 +403,14 @@
 func (cl *cluster) finishReleased() {
 	cl.t.Helper()
 
-	for _, one := range cl.workers {
-		assert.DeepEqual(cl.t, one.Broken(), []string(nil))
+	for _, w := range cl.workers {
+		assert.DeepEqual(cl.t, w.Broken(), []string(nil))
 	}
 
 	assert.DeepEqual(cl.t, worker.Turns(turnPause, cl.all()...), []string(nil))
 
-	for _, m := range cl.holders {
-		m.gate.Open()
+	for _, h := range cl.holders {
+		h.gate.Open()
 	}
 
 	cl.cancel()
