--- a/internal/placement/cell/cell.go
+++ b/internal/placement/cell/cell.go
@@ -1,9 +1,9 @@
-// Package cell runs the control of one cell. It watches the cell's lease and
-// acquires it when it is free. While it holds the lease, it decides which
-// models are loaded, orders the loads and unloads, and publishes the replicas
-// to the entries. The decisions themselves are in the packages lease, ledger,
-// demand and replica; this package connects them to the store, the engines and
-// the entries.
+// Package cell implements the controller of one cell. The controller watches
+// the cell's lease and acquires it when it is free. While it holds the lease,
+// it decides which models are loaded, orders the loads and unloads, and
+// publishes the replicas to the entries. The decisions themselves are in the
+// packages lease, ledger, demand and replica; this package connects them to the
+// store, the engines and the entries.
 package cell
 
 import (
@@ -34,7 +34,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/record"
 )
 
-// Config configures the control of a cell.
+// Config configures a cell's controller.
 type Config struct {
 	Cell, Cells int
 	Self        instance.ID
@@ -46,19 +46,20 @@
 	Dial func(instance.Instance) target.Engine
 	// ChecksTokens reports whether an engine refuses old fencing tokens.
 	ChecksTokens func(instance.ID) bool
-	// Leaving reports whether a target is known to be leaving from another
-	// source than the instance list.
+	// Leaving reports whether a source other than the instance list has
+	// reported that a target is leaving.
 	Leaving func(instance.ID) bool
-	// Send sends a snapshot to an entry, this one included. It returns false if
-	// the entry could not apply the delta and needs a full snapshot.
+	// Send sends a full snapshot or a delta to an entry, this one included. It
+	// returns false if the entry could not apply a delta and needs a full
+	// snapshot.
 	Send func(ctx context.Context, to instance.ID, s *router.Snapshot) (bool, error)
 	// NotifySuccessor notifies an instance that a lease was released to it.
 	NotifySuccessor func(to instance.ID, cell int)
-	// Lists returns the lists in force.
+	// Lists returns the state of the plan and allowance lists in force.
 	Lists func() plan.State
 	// Objects stores the models' histories, so that they survive a change of
-	// the holder. Nil means that there are none: idle replicas then stay for a
-	// fixed time.
+	// the holder. Nil means that no history is stored or used: idle replicas
+	// then stay for a fixed time.
 	Objects object.Store
 	Log     *timeline.Log
 	Logger  zerolog.Logger
@@ -66,32 +67,34 @@
 	Policy  replica.Weights
 	// LoadLimit limits the loads that all cells together may have in flight.
 	LoadLimit share.Loads
-	// RequestShare asks the holder of the first cell for this cell's share of them.
-	// Nil means that there is only one cell, which has them all.
+	// RequestShare asks the holder of the first cell for this cell's share of
+	// LoadLimit. Nil means that there is only one cell, which has the whole
+	// limit.
 	RequestShare func(ctx context.Context, a share.Request) (share.Loads, error)
-	// BytesPerSecond is the speed of a remote load that is assumed before the
+	// BytesPerSecond is the speed that is assumed for remote loads until the
 	// first loads have completed.
 	BytesPerSecond float64
 }
 
-// Cell is the control of one cell on one instance, which may or may not hold
+// Cell is the controller of one cell on one instance, which may or may not hold
 // the cell's lease.
 type Cell struct {
 	cfg  Config
 	wake chan struct{}
 
-	mu    sync.Mutex
-	watch lease.Watch
-	held  lease.Holding
-	term  *leaseTerm
-	// preferredSince is since when preferred, another instance, has ranked first
-	// for the cell.
+	mu      sync.Mutex
+	watch   lease.Watch
+	holding lease.Holding
+	term    *leaseTerm
+	// preferred is the other instance that ranks first for the cell, or "", and
+	// preferredSince is when it began to rank first.
 	preferredSince time.Time
 	preferred      instance.ID
 	draining       bool
 
-	// inFlight counts the orders that were sent and not yet answered, over all
-	// lease terms of this process.
+	// inFlight counts the calls for orders that have not returned yet, over all
+	// lease terms of this process. An order whose call was cancelled or timed
+	// out is no longer counted, though it may still arrive at its engine.
 	inFlight atomic.Int64
 	// storeDown says that the last renewal got no answer from the store.
 	storeDown atomic.Bool
@@ -102,15 +105,16 @@
 // NotHolderError says that this instance does not hold the cell's lease.
 type NotHolderError struct {
 	Cell int
-	// Hint is the holder that this instance last read from the lease row.
+	// Hint is the holder that this instance last read from the lease row, or
+	// "" if it has read none since it lost the lease.
 	Hint instance.ID
 }
 
 func (e *NotHolderError) Error() string {
-	return fmt.Sprintf("cell %d: not the holder, try %s", e.Cell, e.Hint)
+	return fmt.Sprintf("cell %d: this instance does not hold the lease; last known holder: %q", e.Cell, e.Hint)
 }
 
-// New returns the control of a cell. Run starts it.
+// New returns a cell's controller. Run starts it.
 func New(cfg Config) *Cell {
 	if cfg.Timing == (lease.Timing{}) {
 		cfg.Timing = lease.DefaultTiming()
@@ -165,15 +169,16 @@
 	}
 }
 
-// step renews or checks the lease if that is due, and returns the pause until
-// the next step.
+// step renews a lease that this instance holds, or checks one that it does not
+// hold, and returns the pause until the next step. An instance that drains or
+// ranks behind the watchers does not check the lease.
 func (c *Cell) step(ctx context.Context) time.Duration {
 	c.mu.Lock()
-	held, draining := c.held, c.draining
+	holding, draining := c.holding, c.draining
 	c.mu.Unlock()
 
-	if held.Token != 0 {
-		return c.renew(ctx, held)
+	if holding.Token != 0 {
+		return c.renew(ctx, holding)
 	}
 
 	rank := c.rank()
@@ -253,56 +258,57 @@
 		return
 	}
 
-	held := lease.Holding{Record: next, Version: version, FenceVersion: version, RenewalSent: sent}
+	holding := lease.Holding{Record: next, Version: version, FenceVersion: version, RenewalSent: sent}
 
 	c.Takeovers.Add(1)
 	c.cfg.Log.Add(timeline.Event{Kind: timeline.LeaseTaken, Detail: fmt.Sprintf("cell %d token %d", c.cfg.Cell, next.Token)})
 	c.cfg.Logger.Info().Int("cell", c.cfg.Cell).Uint64("token", next.Token).Msg("lease taken")
 
 	c.mu.Lock()
-	c.held = held
-	c.preferred = "" // In each term, preferredSince starts anew.
-	c.term = newLeaseTerm(c, held)
+	c.holding = holding
+	c.preferred = "" // Restarts the wait for rebalanceAfter in each term.
+	c.term = newLeaseTerm(c, holding)
 	t := c.term
 	c.mu.Unlock()
 
 	t.start()
 }
 
-// renew renews the lease if that is due and returns the pause until the next
-// attempt.
-func (c *Cell) renew(ctx context.Context, held lease.Holding) time.Duration {
+// renew hands the lease over if another instance has ranked first for longer
+// than rebalanceAfter, and otherwise renews it if that is due. It returns the
+// pause until the next step.
+func (c *Cell) renew(ctx context.Context, holding lease.Holding) time.Duration {
 	if c.shouldHandOver() {
 		c.Release(ctx)
 
 		return 0
 	}
 
-	due := held.RenewalSent.Add(c.cfg.Timing.Renew)
+	due := holding.RenewalSent.Add(c.cfg.Timing.Renew)
 	if wait := time.Until(due); wait > 0 {
 		return wait
 	}
 
-	next := held.Record
+	next := holding.Record
 	next.WriteID = uuid.NewString()
 	sent := time.Now()
 
 	renewCtx, cancel := context.WithTimeout(ctx, c.cfg.Timing.Renew)
 	defer cancel()
 
-	version, err := c.row().Write(renewCtx, next, held.Version)
+	version, err := c.row().Write(renewCtx, next, holding.Version)
 
 	switch {
 	case err == nil:
 		c.renewed(next, version, sent)
 		c.noteStore(false)
 	case table.IsConflict(err):
-		c.conflict(ctx, held)
+		c.handleConflict(ctx, holding)
 	default:
 		c.noteStore(true)
 	}
 
-	return c.cfg.Timing.Poll / 2 //nolint:mnd // Two attempts in a poll interval.
+	return c.cfg.Timing.Poll / 2 //nolint:mnd // Retry twice in a poll interval.
 }
 
 // noteStore records when the store becomes unavailable and available again.
@@ -324,40 +330,41 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	if c.held.Token != next.Token {
+	if c.holding.Token != next.Token {
 		return
 	}
 
-	c.held.Record, c.held.Version, c.held.RenewalSent = next, version, sent
-	c.term.setHeld(c.held)
+	c.holding.Record, c.holding.Version, c.holding.RenewalSent = next, version, sent
+	c.term.setHolding(c.holding)
 }
 
-// conflict handles a renewal that conflicted: it reads the row, and either
-// continues with its version or ends the term.
-func (c *Cell) conflict(ctx context.Context, held lease.Holding) {
-	version, own, err := c.row().CheckOwner(ctx, held.Token)
+// handleConflict handles a renewal that conflicted: it reads the row, and either
+// continues with the row's version, if this process still holds the lease, or
+// ends the term.
+func (c *Cell) handleConflict(ctx context.Context, holding lease.Holding) {
+	version, own, err := c.row().CheckOwner(ctx, holding.Token)
 
 	switch {
 	case err != nil:
 	case own:
 		c.mu.Lock()
-		c.held.Version = version
+		c.holding.Version = version
 		c.mu.Unlock()
 	default:
-		c.loseLease(held.Token)
+		c.loseLease(holding.Token)
 	}
 }
 
 // loseLease ends the term because another instance holds the lease.
 func (c *Cell) loseLease(token uint64) {
 	c.mu.Lock()
-	if c.held.Token != token {
+	if c.holding.Token != token {
 		c.mu.Unlock()
 
 		return
 	}
 
-	c.held = lease.Holding{}
+	c.holding = lease.Holding{}
 	c.watch = lease.Watch{}
 	t := c.term
 	c.term = nil
@@ -372,7 +379,7 @@
 	c.mu.Lock()
 	t := c.term
 	c.term = nil
-	c.held = lease.Holding{}
+	c.holding = lease.Holding{}
 	c.mu.Unlock()
 
 	if t != nil {
@@ -421,11 +428,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	return peer.Lease{Cell: c.cfg.Cell, Token: c.held.Token}, c.held.Token != 0
+	return peer.Lease{Cell: c.cfg.Cell, Token: c.holding.Token}, c.holding.Token != 0
 }
 
-// OrdersInFlight reports whether orders of this process to engines of the cell
-// are in flight.
+// OrdersInFlight reports whether calls for orders of this process to engines of
+// the cell have not returned yet.
 func (c *Cell) OrdersInFlight() bool { return c.inFlight.Load() > 0 }
 
 // Number returns the cell's number.
--- a/internal/placement/cell/engines.go
+++ b/internal/placement/cell/engines.go
@@ -20,30 +20,35 @@
 	instance.Instance
 
 	engine target.Engine
-	// inventory is the engine's latest inventory. fresh says that it is current:
-	// it has arrived and no order was answered after it.
+	// inventory is the engine's latest inventory that was applied. fresh says
+	// that it is current: it is set when an inventory is applied, and cleared
+	// when a poll gets no answer or when the inventory in an order's answer
+	// could not be applied.
 	inventory target.Inventory
 	fresh     bool
-	// inventoryAt is when the inventory arrived.
+	// inventoryAt is when the inventory was applied.
 	inventoryAt time.Time
 	report      target.Report
 	reportAt    time.Time
 	// usable says that loads may be ordered.
 	usable bool
-	// answeredAt is when the engine last answered.
+	// answeredAt is when the engine last answered a poll for its inventory, or
+	// when polling began.
 	answeredAt time.Time
-	// orders counts the orders in flight; epoch counts the orders answered. An
-	// inventory that was requested in an earlier epoch is out of date.
+	// orders counts the loads and unloads whose calls are running; epoch counts
+	// those whose calls have ended, with an answer or without. An inventory that
+	// was requested in an earlier epoch may be out of date.
 	orders int
 	epoch  uint64
-	loads  []time.Time
-	stop   chan struct{}
-	// trigger makes the next poll come at once.
+	// loadTimes holds when the loads of the last hour were ordered.
+	loadTimes []time.Time
+	stop      chan struct{}
+	// trigger makes poll ask the engine at once.
 	trigger chan struct{}
 }
 
-// pollSoon makes the next poll of the engine come at once.
-func (e *engineState) pollSoon() {
+// pollNow makes poll ask the engine at once.
+func (e *engineState) pollNow() {
 	select {
 	case e.trigger <- struct{}{}:
 	default:
@@ -64,10 +69,10 @@
 	return errors.As(err, &noMemory)
 }
 
-// noteLoad records a load, and forgets those of more than an hour ago.
+// noteLoad records a load and drops those older than an hour.
 func (e *engineState) noteLoad(now time.Time) {
-	e.loads = append(e.loads, now)
-	e.loads = slices.DeleteFunc(e.loads, func(at time.Time) bool { return now.Sub(at) > time.Hour })
+	e.loadTimes = append(e.loadTimes, now)
+	e.loadTimes = slices.DeleteFunc(e.loadTimes, func(at time.Time) bool { return now.Sub(at) > time.Hour })
 }
 
 // syncTargets starts to poll the cell's targets that are new on the instance
@@ -155,17 +160,18 @@
 	}
 }
 
-// pollInventory reads and applies the engine's inventory, raises its token if
-// that is old, and reports whether the engine is loading a model.
+// pollInventory reads and applies the engine's inventory. If the engine's token
+// is lower than this holder's, it raises the engine's token first. It reports
+// whether the engine is loading a model.
 func (t *leaseTerm) pollInventory(e *engineState) bool {
 	t.mu.Lock()
-	epoch, token := e.epoch, t.held.Token
+	epoch, token := e.epoch, t.holding.Token
 	t.mu.Unlock()
 
 	inv, err := e.engine.Inventory(t.ctx)
 	if err == nil && t.cfg.ChecksTokens(e.ID) && inv.Token < token {
-		// Once it has answered, the engine refuses all orders of former holders.
-		id := detail("raise/%d/%s", token, inv.Incarnation)
+		// Once the engine has answered, it refuses all orders of former holders.
+		id := sprintf("raise/%d/%s", token, inv.Incarnation)
 		inv, err = e.engine.Submit(t.ctx, target.Order{ID: id, Token: token, Action: target.RaiseToken{}})
 	}
 
@@ -232,13 +238,13 @@
 	}
 
 	if e.inventory.Incarnation != "" && e.inventory.Incarnation != inv.Incarnation {
-		t.cfg.Log.Add(timeline.Event{Kind: timeline.TargetDied, Target: id, Detail: "restarted"})
+		t.cfg.Log.Add(timeline.Event{Kind: timeline.TargetDied, Target: id, Detail: "came back empty"})
 	}
 
 	e.inventory, e.fresh, e.inventoryAt = inv, true, now
 	wasUsable := e.usable
 	e.usable = e.State != instance.Leaving && t.ledgerRead &&
-		(!t.cfg.ChecksTokens(id) || inv.Token >= t.held.Token)
+		(!t.cfg.ChecksTokens(id) || inv.Token >= t.holding.Token)
 
 	if e.usable != wasUsable {
 		t.publishNow = true
@@ -272,7 +278,8 @@
 	case r.State.Acknowledged && r.State.Phase != target.Unloading:
 		// The replica has disappeared: the engine was restarted, or the
 		// replica was unloaded without an order of this holder. The row is
-		// removed once that is proved; a new load is decided like any other.
+		// removed once Removable allows it; whether to load the model again
+		// is decided as for any other model.
 		r.State.Phase = target.Unloading
 		r.State.Since = now
 		r.State.Retiring = true
@@ -316,19 +323,19 @@
 	r.State.Phase = target.Failed
 	r.State.Since = now
 	t.publishNow = true
-	t.event(timeline.LoadFailed, r.Key, detail("%d in a row", r.State.Failures))
+	t.event(timeline.LoadFailed, r.Key, sprintf("%d in a row", r.State.Failures))
 	t.requestRound()
 }
 
 // adoptUncounted adds a row for a replica that is resident on the engine but not
-// in the ledger. It counts at once, is written to the store, and the replica is
-// then unloaded.
+// in the ledger. The row counts at once and is written to the store; after that
+// the replica is unloaded.
 func (t *leaseTerm) adoptUncounted(id instance.ID, h target.Held, now time.Time) {
 	row := t.ledger.Adopt(ledger.Row{
 		Key:     ledger.Key{Target: id, Model: h.Model},
 		Base:    h.Base,
 		Bytes:   h.Bytes,
-		Token:   t.held.Token,
+		Token:   t.holding.Token,
 		Holder:  t.cfg.Self,
 		Process: t.cfg.Process,
 		WriteID: newID(),
@@ -339,7 +346,7 @@
 	})
 	t.cfg.Logger.Warn().Str("target", string(id)).Str("model", h.Model).Msg("adopted a replica that had no ledger row")
 
-	key, value, fence := record.LedgerKey(t.cfg.Cell, row.Key), record.EncodeLedger(row), t.held.FenceVersion
+	key, value, fence := record.LedgerKey(t.cfg.Cell, row.Key), record.EncodeLedger(row), t.holding.FenceVersion
 	t.background(row, func(ctx context.Context) {
 		version, err := table.Settle(ctx, t.cfg.Table, table.Transaction{
 			Conditions: []table.Condition{{Key: key}, {Key: record.FenceKey(t.cfg.Cell), Version: fence}},
@@ -365,7 +372,7 @@
 
 	for id, e := range t.targets {
 		slots := max(1, e.report.Slots)
-		e.loads = slices.DeleteFunc(e.loads, func(at time.Time) bool { return now.Sub(at) > time.Hour })
+		e.loadTimes = slices.DeleteFunc(e.loadTimes, func(at time.Time) bool { return now.Sub(at) > time.Hour })
 
 		out = append(out, replica.Target{
 			ID:            id,
@@ -375,7 +382,7 @@
 			Usable:        e.usable,
 			Lost:          e.State == instance.Leaving || now.Sub(e.answeredAt) > downAfter,
 			Cached:        e.inventory.Cached,
-			LoadsLastHour: len(e.loads),
+			LoadsLastHour: len(e.loadTimes),
 		})
 	}
 
--- a/internal/placement/cell/failure_test.go
+++ b/internal/placement/cell/failure_test.go
@@ -69,7 +69,7 @@
 		// arrives.
 		var once sync.Once
 
-		w.hook(func(p *proc, o target.Order) {
+		w.hookOrder(func(p *proc, o target.Order) {
 			if _, ok := o.Action.(target.Load); ok {
 				once.Do(func() {
 					p.gate.Close()
@@ -157,7 +157,7 @@
 		_, ok := w.reportUntilReady(modelName(0), 40*time.Second)
 		assert.Assert(t, ok, w.state())
 	}},
-	{"order answered twice and late", func(t *testing.T, w *world) {
+	{"order arrives late, after it was sent again", func(t *testing.T, w *world) {
 		// Orders reach the engines three seconds late, after the holder's
 		// attempt has timed out and it has sent them again. Each must be carried
 		// out once.
@@ -189,7 +189,7 @@
 		w.reportWaiting(modelName(0))
 		time.Sleep(200 * time.Millisecond)
 
-		loading := w.loadingOn(modelName(0))
+		loading := w.engineWith(modelName(0))
 		assert.Assert(t, loading != nil)
 		w.weights.Slow(1)
 		w.platform.Announce(instance.Instance{ID: loading.ID(), Role: instance.Engine, State: instance.Leaving})
@@ -219,11 +219,11 @@
 }
 
 func TestFailures(t *testing.T) {
-	for _, checks := range []bool{true, false} {
+	for _, checksTokens := range []bool{true, false} {
 		for _, f := range failures {
-			t.Run(fmt.Sprintf("tokens checked %v/%s", checks, f.name), func(t *testing.T) {
+			t.Run(fmt.Sprintf("tokens checked %v/%s", checksTokens, f.name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := newWorld(t, 3, modelCount, checks)
+					w := newWorld(t, 3, modelCount, checksTokens)
 					for i := range 3 {
 						w.start(instance.ID(fmt.Sprintf("entry-%d", i)))
 					}
@@ -255,8 +255,8 @@
 	return n
 }
 
-// loadingOn returns an engine whose inventory shows the model, or nil.
-func (w *world) loadingOn(model string) *engine.Engine {
+// engineWith returns an engine whose inventory shows the model, or nil.
+func (w *world) engineWith(model string) *engine.Engine {
 	for _, e := range w.engines {
 		inv, err := e.Inventory(w.t.Context())
 		if err != nil {
@@ -301,10 +301,10 @@
 		w.reportWaiting(modelName(1))
 		time.Sleep(500 * time.Millisecond)
 
-		wait, ok := p.table.Wait(modelName(1))
+		wait, ok := p.routes.Wait(modelName(1))
 		assert.Assert(t, ok)
 		assert.Equal(t, wait.Reason, reasonNoLease)
-		assert.Assert(t, len(p.table.Targets(modelName(0))) > 0, "loaded models are still served")
+		assert.Assert(t, len(p.routes.Targets(modelName(0))) > 0, "loaded models must still be served")
 
 		time.Sleep(30 * time.Second)
 		assert.Equal(t, len(w.ordersBy(p.id, expired)), 0)
@@ -369,14 +369,14 @@
 		time.Sleep(400 * time.Millisecond)
 
 		loads := w.ordersBy(p.id, start)
-		assert.Equal(t, len(loads), 1, "one load for all: %v", loads)
+		assert.Equal(t, len(loads), 1, "one load must serve all: %v", loads)
 		assert.Assert(t, loads[0].at.Sub(start) < 5*time.Millisecond, "ordered after %s", loads[0].at.Sub(start))
 	})
 }
 
-// TestNoUnloadUnderRequest: a request is sent to a replica while the holder
-// retires it. The replica must stay until every entry has removed it from its
-// routing and none has a request running on it.
+// TestNoUnloadUnderRequest: a request runs on a replica for much longer than an
+// idle replica is kept. The holder must not unload the replica before the
+// request has ended, and must unload it then.
 func TestNoUnloadUnderRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1, modelCount, true)
@@ -394,7 +394,7 @@
 		// The request runs for a minute, much longer than an idle replica is
 		// kept.
 		for range 60 {
-			at := p.table.Position(0)
+			at := p.routes.Position(0)
 			_ = p.Report(demand.Report{Entry: "entry-x", Token: at.Token, Number: at.Number, Uses: []demand.Use{use}})
 
 			time.Sleep(time.Second)
@@ -403,7 +403,7 @@
 		assert.Equal(t, w.loaded(modelName(0)), 1, "unloaded under a running request")
 
 		for range 60 {
-			at := p.table.Position(0)
+			at := p.routes.Position(0)
 			_ = p.Report(demand.Report{Entry: "entry-x", Token: at.Token, Number: at.Number})
 
 			time.Sleep(time.Second)
@@ -425,8 +425,9 @@
 
 		defer w.stopAll()
 
-		// By then the first holder, which may have acquired the lease before all
-		// instances were known, has handed it over to the one that ranks first.
+		// By then the first holder, which may have acquired the lease before it had
+		// received heartbeats of all instances, has handed it over to the one
+		// that ranks first.
 		time.Sleep(2 * rebalanceAfter)
 
 		first := w.holder()
@@ -438,14 +439,14 @@
 
 		w.start(first.id)
 		time.Sleep(rebalanceAfter / 2)
-		assert.Assert(t, w.holder().id != first.id, "too early")
+		assert.Assert(t, w.holder().id != first.id, "the lease was handed back too early")
 
 		time.Sleep(rebalanceAfter)
 		assert.Equal(t, w.holder().id, first.id)
 	})
 }
 
-func TestOfSpreadsAndMovesLittle(t *testing.T) {
+func TestOfIsBalancedAndStable(t *testing.T) {
 	const names, cells = 10000, 10
 
 	count := make([]int, cells)
--- a/internal/placement/cell/gate_test.go
+++ b/internal/placement/cell/gate_test.go
@@ -91,14 +91,16 @@
 	return inv, err
 }
 
-// delay sleeps for a message's network delay, which its name determines.
+// delay sleeps for a network delay below w.jitter, chosen by a hash of name,
+// which identifies the message.
 func (w *world) delay(name string) {
 	if jitter := w.jitter.Load(); jitter > 0 {
 		time.Sleep(time.Duration(xxhash.Sum64String(name) % uint64(jitter)))
 	}
 }
 
-// ordersBy returns the orders that the process has sent since the given time.
+// ordersBy returns the orders that processes of the instance have sent since the
+// given time.
 func (w *world) ordersBy(id instance.ID, since time.Time) []sentOrder {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/placement/cell/handover.go
+++ b/internal/placement/cell/handover.go
@@ -14,7 +14,7 @@
 
 // rebalanceAfter is how long another instance must rank first before the lease
 // is handed over to it. The delay keeps the lease from moving back and forth
-// with an instance that is up only for short times.
+// when an instance keeps starting and stopping.
 const rebalanceAfter = 30 * time.Second
 
 // shouldHandOver reports whether another instance has ranked first for longer
@@ -51,22 +51,25 @@
 }
 
 // Release hands the lease over to the instance that ranks first among the
-// others. It waits until the orders in flight have ended, so that the successor
-// need not wait for proof that none will arrive late.
+// others. It first ends the term, which cancels the calls for orders in flight
+// and waits until they have returned, so that the next status that the successor
+// receives proves that this process has no order in flight. A cancelled order
+// may still arrive: the successor removes a row only once the engine also has
+// the raised token, or once OrderLifetime has passed since that proof.
 func (c *Cell) Release(ctx context.Context) {
 	c.mu.Lock()
-	held, t := c.held, c.term
-	c.held, c.term = lease.Holding{}, nil
+	holding, t := c.holding, c.term
+	c.holding, c.term = lease.Holding{}, nil
 	c.watch = lease.Watch{}
 	c.mu.Unlock()
 
-	if held.Token == 0 {
+	if holding.Token == 0 {
 		return
 	}
 
 	t.stop()
 
-	next := held.Record
+	next := holding.Record
 	next.Released = true
 	next.Successor = c.successor()
 	next.WriteID = uuid.NewString()
@@ -74,7 +77,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.Timing.Renew)
 	defer cancel()
 
-	if _, err := c.row().Release(ctx, next, held.Version); err != nil {
+	if _, err := c.row().Release(ctx, next, holding.Version); err != nil {
 		c.cfg.Logger.Warn().Err(err).Int("cell", c.cfg.Cell).Msg("lease not released")
 
 		return
@@ -82,7 +85,7 @@
 
 	c.cfg.Log.Add(timeline.Event{
 		Kind:   timeline.LeaseReleased,
-		Detail: fmt.Sprintf("cell %d token %d to %s", c.cfg.Cell, held.Token, next.Successor),
+		Detail: fmt.Sprintf("cell %d token %d to %s", c.cfg.Cell, holding.Token, next.Successor),
 	})
 
 	if next.Successor != "" && c.cfg.NotifySuccessor != nil {
--- a/internal/placement/cell/history.go
+++ b/internal/placement/cell/history.go
@@ -25,33 +25,34 @@
 	// candidatesEvery is the interval at which all models are searched for
 	// candidates.
 	candidatesEvery = 10 * time.Second
-	// candidateHorizon is how far ahead uses are predicted for that. It covers
-	// the longest loads.
+	// candidateHorizon is how far ahead uses are predicted in the search for
+	// candidates. It covers the longest loads.
 	candidateHorizon = 2 * time.Minute
 	// historyWriteEvery is the interval at which the history is written to the
 	// object store, as one object.
 	historyWriteEvery = 5 * time.Minute
-	// longestLoad and smallestAcceleratorShare give the lowest rate of use that
-	// makes a model a candidate. At any lower rate, even a model that takes this
-	// long to load and occupies this small a share of an accelerator is not
-	// worth loading ahead.
+	// longestLoad and smallestAcceleratorShare, together with the policy's
+	// WaitCost, determine the lowest rate of use that makes a model a candidate.
+	// At any lower rate, even a model that takes longestLoad to load and occupies
+	// only smallestAcceleratorShare of an accelerator is not worth loading ahead.
 	longestLoad = 2 * time.Minute
 	// smallestAcceleratorShare is a fraction of one accelerator.
 	smallestAcceleratorShare = 0.01
 )
 
-// addUse records a use of the model at now, if n, its number of requests, is
-// not zero.
+// addUse records one use of the model at now if n, the number of the model's
+// requests, is not zero.
 func (h *modelHistory) addUse(model string, now time.Time, n int) {
 	if n > 0 {
 		h.uses.RecordUse(model, now)
 	}
 }
 
-// candidates returns the models that may be worth loading ahead of use.
-func (h *modelHistory) candidates(now time.Time, worth float64) []string {
+// candidates returns the models that may be worth loading ahead of use. WaitCost
+// is that of replica.Weights.
+func (h *modelHistory) candidates(now time.Time, waitCost float64) []string {
 	if now.Sub(h.candidatesAt) >= candidatesEvery {
-		least := smallestAcceleratorShare / (longestLoad.Seconds() * worth)
+		least := smallestAcceleratorShare / (longestLoad.Seconds() * waitCost)
 		h.candidateModels, h.candidatesAt = h.uses.Candidates(now, candidateHorizon, least), now
 	}
 
--- a/internal/placement/cell/orders.go
+++ b/internal/placement/cell/orders.go
@@ -29,7 +29,7 @@
 		return
 	}
 
-	value, fence := record.EncodeLedger(row), t.held.FenceVersion
+	value, fence := record.EncodeLedger(row), t.holding.FenceVersion
 	bytes, base := row.Bytes, row.Base
 	t.mu.Unlock()
 
@@ -75,8 +75,9 @@
 	t.foundSuccessor(err)
 }
 
-// orderLoad sends the order until the engine has answered it. Sending it again
-// is harmless, because the engine carries out each id only once.
+// orderLoad sends the order until the engine has answered it, or until endsOrder
+// reports that it must not be sent again. Sending it again is harmless, because
+// the engine carries out each id only once.
 func (t *leaseTerm) orderLoad(k ledger.Key, a target.Load, id string) {
 	t.event(timeline.LoadOrdered, k, "")
 
@@ -88,14 +89,14 @@
 			return
 		}
 
-		if t.endsOrder(k, err) || !t.sleep(orderRetry) {
+		if t.endsOrder(k, err) || !t.sleep(orderRetryPause) {
 			return
 		}
 	}
 }
 
-// orderRetry is the pause before an order without an answer is sent again.
-const orderRetry = 200 * time.Millisecond
+// orderRetryPause is the pause before an order without an answer is sent again.
+const orderRetryPause = 200 * time.Millisecond
 
 // endsOrder handles the error of an order and reports whether it is final, so
 // that the order is not sent again.
@@ -124,7 +125,8 @@
 	}
 
 	// A target that is not on the instance list gets no orders. Its rows are
-	// removed once the list proves that it is gone.
+	// removed once it has been missing from the list for long enough to count as
+	// gone.
 	_, listed := t.cfg.Fleet.Lookup(k.Target)
 
 	return !listed
@@ -133,22 +135,23 @@
 // answer is an engine's answer to an order.
 type answer struct {
 	inventory target.Inventory
-	// alone says that no other order to the engine was in flight meanwhile.
-	// Otherwise another order, whose answer was handled first, may have taken
-	// effect after this inventory was read, which then lacks its replica.
+	// alone says that no other order to the engine was in flight at the same
+	// time. Otherwise another order, whose answer was handled first, may have
+	// taken effect after this inventory was read, so that this inventory does
+	// not show the other order's effect.
 	alone bool
 	// epoch is the engine's epoch after this answer. If it has changed by the
-	// time the inventory is applied, another order was answered in between.
+	// time the inventory is applied, another order has ended in between.
 	epoch uint64
 }
 
-// submit sends one order, if this holder may still send it. It checks the lease
-// right before, and again after the answer.
+// submit sends one order, if this holder may still send it. It checks that right
+// before it sends the order, and again when the call has returned.
 func (t *leaseTerm) submit(k ledger.Key, a target.Action, id string) (answer, error) {
 	t.mu.Lock()
 
 	now := time.Now()
-	token := t.held.Token
+	token := t.holding.Token
 
 	row, e := t.ledger.Row(k), t.targets[k.Target]
 	if row == nil || e == nil || !t.mayOrder(row, now) {
@@ -157,7 +160,7 @@
 		return answer{}, &lease.ExpiredError{Cell: t.cfg.Cell, Token: token}
 	}
 
-	doubt := row.State.InDoubtSince
+	earlierDoubt := row.State.InDoubtSince
 	row.State.InDoubtSince = now
 	e.orders++
 	epoch := e.epoch
@@ -179,7 +182,7 @@
 	if err == nil || isNoMemory(err) || isStale(err) {
 		// The engine has answered this order. An earlier one without an answer
 		// stays in doubt.
-		row.State.InDoubtSince = doubt
+		row.State.InDoubtSince = earlierDoubt
 	}
 
 	if !t.mayOrder(row, time.Now()) {
@@ -193,10 +196,10 @@
 }
 
 // mayOrder reports whether an order for the row may be sent. Without a valid
-// lease, it may be sent only to an engine that itself refuses former holders,
-// and only for a row whose write to the store is confirmed.
+// lease, it may be sent only to an engine that itself refuses orders of former
+// holders, and only for a row whose write to the store is confirmed.
 func (t *leaseTerm) mayOrder(row *ledger.Row, now time.Time) bool {
-	if t.held.Valid(now, t.cfg.Timing) {
+	if t.holding.Valid(now, t.cfg.Timing) {
 		return true
 	}
 
@@ -229,13 +232,14 @@
 	}
 
 	if e != nil {
-		e.pollSoon()
+		e.pollNow()
 	}
 
 	t.requestRound()
 }
 
-// unload sends an unload order until the engine has answered it.
+// unload sends an unload order until the engine has answered it. It gives up if a
+// successor is found or the target is no longer on the instance list.
 func (t *leaseTerm) unload(k ledger.Key) {
 	t.event(timeline.UnloadOrdered, k, "")
 
@@ -255,13 +259,13 @@
 			return
 		}
 
-		if _, listed := t.cfg.Fleet.Lookup(k.Target); !listed || !t.sleep(orderRetry) {
+		if _, listed := t.cfg.Fleet.Lookup(k.Target); !listed || !t.sleep(orderRetryPause) {
 			return
 		}
 	}
 }
 
-// remove deletes a row whose replica is proved to be gone.
+// remove deletes a row that Removable has allowed to be removed.
 func (t *leaseTerm) remove(k ledger.Key, version, fence uint64) {
 	err := table.SettleDelete(t.ctx, t.cfg.Table, record.LedgerKey(t.cfg.Cell, k), version,
 		table.Condition{Key: record.FenceKey(t.cfg.Cell), Version: fence})
@@ -295,7 +299,7 @@
 
 func (t *leaseTerm) advanceRow(r *ledger.Row, now time.Time) {
 	e := t.targets[r.Target]
-	t.noteWriterResolved(r, now)
+	t.noteWriterIdle(r, now)
 
 	switch {
 	case r.Version == 0 || r.State.Busy:
@@ -313,9 +317,9 @@
 }
 
 // needsOrder reports whether the row was adopted from a former holder and its
-// load order must be sent again. With the same id, that completes a load which
-// the former holder may not have ordered, and makes the engine ignore an order
-// that the former holder may still send.
+// load order must be sent again. Because the order has the same id, it starts
+// the load if the former holder never sent its order, and makes the engine
+// ignore the former holder's order if it arrives later.
 func (t *leaseTerm) needsOrder(r *ledger.Row, e *engineState) bool {
 	return !r.State.OwnTerm && !r.State.Acknowledged && !r.State.Retiring && e.usable
 }
@@ -323,7 +327,7 @@
 // idleEverywhere reports whether all entries have removed the replica from their
 // routing and run no request on it.
 func (t *leaseTerm) idleEverywhere(k ledger.Key, now time.Time) bool {
-	return t.published.omits(k) && t.demand.Drained(k, t.held.Token, t.published.omittedSince(k), now)
+	return t.published.omits(k) && t.demand.Drained(k, t.holding.Token, t.published.omittedSince(k), now)
 }
 
 // tryRemove removes the row if it may be removed; if not, it marks a row that
@@ -332,12 +336,12 @@
 	ev := ledger.Evidence{
 		Now:          now,
 		ChecksTokens: t.cfg.ChecksTokens(r.Target),
-		Token:        t.held.Token,
+		Token:        t.holding.Token,
 		TargetGone:   t.cfg.Fleet.Gone(r.Target, now),
 	}
 
-	if !r.State.ResolvedSince.IsZero() {
-		ev.Resolved = now.Sub(r.State.ResolvedSince)
+	if !r.State.WriterIdleSince.IsZero() {
+		ev.WriterIdle = now.Sub(r.State.WriterIdleSince)
 	}
 
 	if e != nil && e.fresh && e.orders == 0 {
@@ -351,31 +355,34 @@
 		return
 	}
 
-	k, version, fence := r.Key, r.Version, t.held.FenceVersion
+	k, version, fence := r.Key, r.Version, t.holding.FenceVersion
 	t.background(r, func(context.Context) { t.remove(k, version, fence) })
 }
 
-// noteWriterResolved records since when the writer of an adopted row is proved
-// to have no order in flight.
-func (t *leaseTerm) noteWriterResolved(r *ledger.Row, now time.Time) {
+// noteWriterIdle sets WriterIdleSince of an adopted row when its writer is first
+// proved to have no order in flight, and clears it if that is no longer proved.
+func (t *leaseTerm) noteWriterIdle(r *ledger.Row, now time.Time) {
 	switch {
 	case r.State.OwnTerm:
-	case !t.writerResolved(r, now):
-		r.State.ResolvedSince = time.Time{}
-	case r.State.ResolvedSince.IsZero():
-		r.State.ResolvedSince = now
+	case !t.writerIdle(r, now):
+		r.State.WriterIdleSince = time.Time{}
+	case r.State.WriterIdleSince.IsZero():
+		r.State.WriterIdleSince = now
 	}
 }
 
-// stuckAfter is how long a row that is to be removed may wait for its proof
-// before decisions stop counting on its memory.
+// stuckAfter is how long a row that is to be removed may wait for proof that it
+// may be, before decisions stop relying on its memory becoming free.
 const stuckAfter = time.Second
 
-// writerResolved reports whether the process that wrote the row has no order for
-// it in flight. That holds for rows of this instance: an earlier term of this
-// process ended only after all its orders were answered, and an earlier process
-// has ended, since this one could not listen on its address otherwise.
-func (t *leaseTerm) writerResolved(r *ledger.Row, now time.Time) bool {
+// writerIdle reports whether the process that wrote the row is proved to have no
+// order in flight, that is, no running call for one. That holds for rows of this
+// instance: an earlier term of this process ended only after all its calls to
+// engines had returned, and an earlier process has ended, since this one could
+// not listen on its address otherwise. An order whose call was cancelled or
+// timed out may still arrive; Removable therefore also requires that the
+// engine has the raised token, or that OrderLifetime has passed.
+func (t *leaseTerm) writerIdle(r *ledger.Row, now time.Time) bool {
 	if r.Holder == t.cfg.Self {
 		return true
 	}
--- a/internal/placement/cell/publish.go
+++ b/internal/placement/cell/publish.go
@@ -18,24 +18,25 @@
 	targets  map[instance.ID]router.TargetInfo
 	replicas map[ledger.Key]bool
 	waits    []router.Wait
-	// removedIn maps each counted replica that was withdrawn after it had been
-	// published to the number of the first snapshot without it.
+	// removedIn has, for each counted replica that was published and later
+	// withdrawn, the number of the first publication without it.
 	removedIn map[ledger.Key]uint64
 	queues    map[instance.ID]chan *router.Snapshot
 }
 
-// queueLength is how many snapshots may wait for a slow entry. An entry that
+// queueLength is how many deltas may wait for a slow entry. An entry that
 // falls further behind gets a full snapshot.
 const queueLength = 8
 
 // omits reports whether the last publication leaves the replica out.
 func (p *publication) omits(k ledger.Key) bool { return p.number > 0 && !p.replicas[k] }
 
-// omittedSince returns the number of the first snapshot without the replica.
+// omittedSince returns the number of the first publication that omits the
+// replica, or 1 if the replica was never published.
 func (p *publication) omittedSince(k ledger.Key) uint64 { return max(1, p.removedIn[k]) }
 
 // publish sends the entries a delta every publishEvery, and at once if
-// publishNow is set or another model waits or waits for another reason.
+// publishNow is set or if the models that wait or their reasons have changed.
 func (t *leaseTerm) publish(now time.Time) {
 	if !t.ledgerRead {
 		return
@@ -110,7 +111,7 @@
 	return slices.EqualFunc(a, b, func(a, b router.Wait) bool { return a.Model == b.Model && a.Reason == b.Reason })
 }
 
-// sameTarget reports whether two publications of a target are equal but for the
+// sameTarget reports whether two publications of a target are equal, ignoring the
 // report's age.
 func sameTarget(a, b router.TargetInfo) bool {
 	a.ReportAge, b.ReportAge = 0, 0
@@ -166,7 +167,7 @@
 	return &router.Snapshot{
 		Cell:   t.cfg.Cell,
 		Holder: t.cfg.Self,
-		Token:  t.held.Token,
+		Token:  t.holding.Token,
 		Number: p.number,
 		Waits:  p.waits,
 	}
@@ -190,7 +191,7 @@
 	return s
 }
 
-// enqueue adds the snapshot to the queue of every live entry, without blocking.
+// enqueue adds the delta to the queue of every live entry, without blocking.
 func (t *leaseTerm) enqueue(s *router.Snapshot) {
 	entries := t.cfg.Fleet.Entries()
 
@@ -222,7 +223,9 @@
 	}
 }
 
-// sendQueued sends the queued snapshots to one entry, in order.
+// sendQueued sends the queued deltas to one entry, in order. It sends a full
+// snapshot in place of the term's first delta, which has no base, and after a
+// delta that the entry could not apply.
 func (t *leaseTerm) sendQueued(id instance.ID, queue chan *router.Snapshot) {
 	for {
 		var s *router.Snapshot
--- a/internal/placement/cell/schedule_test.go
+++ b/internal/placement/cell/schedule_test.go
@@ -16,13 +16,13 @@
 	"github.com/fulmarcross/fulmarcross/internal/standin/platform"
 )
 
-// incident is one fault that a schedule injects.
-type incident struct {
+// fault is a failure that a schedule can inject.
+type fault struct {
 	name string
 	run  func(w *world, rng *rand.Rand)
 }
 
-var incidents = []incident{
+var faults = []fault{
 	{"kill the holder", func(w *world, _ *rand.Rand) {
 		if p := w.holder(); p != nil && len(w.running()) > 1 {
 			w.kill(p)
@@ -46,7 +46,7 @@
 
 		var once sync.Once
 
-		w.hook(func(p *proc, _ target.Order) {
+		w.hookOrder(func(p *proc, _ target.Order) {
 			once.Do(func() {
 				p.gate.Close()
 				time.AfterFunc(d, p.gate.Open)
@@ -96,8 +96,8 @@
 
 const modelCount = 6
 
-// runSchedule injects incidents in a seeded order and at seeded times while
-// requests wait for models. world.check runs after every change on an engine.
+// runSchedule injects faults in a seeded order and at seeded times while requests
+// wait for models. world.checkEngine runs after every change on an engine.
 func runSchedule(t *testing.T, seed uint64, checksTokens bool, only ...string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -116,13 +116,13 @@
 		schedule := fmt.Sprintf("seed %d, tokens checked %v:", seed, checksTokens)
 
 		for range 3 + rng.IntN(4) {
-			m := incidents[rng.IntN(len(incidents))]
+			f := faults[rng.IntN(len(faults))]
 			if len(only) > 0 {
-				m = incidentNamed(only[rng.IntN(len(only))])
+				f = faultNamed(only[rng.IntN(len(only))])
 			}
 
-			schedule += " " + m.name + ";"
-			m.run(w, rng)
+			schedule += " " + f.name + ";"
+			f.run(w, rng)
 
 			for range 1 + rng.IntN(6) {
 				w.reportWaiting(modelName(rng.IntN(modelCount)), modelName(rng.IntN(modelCount)))
@@ -143,20 +143,21 @@
 	})
 }
 
-func incidentNamed(name string) incident {
-	for _, m := range incidents {
-		if m.name == name {
-			return m
+func faultNamed(name string) fault {
+	for _, f := range faults {
+		if f.name == name {
+			return f
 		}
 	}
 
 	panic(name)
 }
 
-// TestSchedules injects several faults at once: processes and engines that die,
-// pause or answer late, in random order. No replica may be loaded that the
-// ledger does not count, no engine's memory may be overcommitted, and the cell
-// must recover by itself.
+// TestSchedules injects several faults, which may overlap, in random order:
+// processes that die or pause, engines that die, answer late, fail loads or are
+// reclaimed, a store that is down, slow or loses answers, and a slow weight
+// store. No replica may be loaded that the ledger does not count, no engine's
+// memory may be overcommitted, and the cell must recover by itself.
 func TestSchedules(t *testing.T) {
 	const chunks = 16
 
--- a/internal/placement/cell/shares.go
+++ b/internal/placement/cell/shares.go
@@ -8,7 +8,8 @@
 	"github.com/fulmarcross/fulmarcross/internal/placement/share"
 )
 
-// requestSharesEvery is the interval at which a share of the loads is requested.
+// requestSharesEvery is the interval at which a share of the load limit is
+// requested.
 const requestSharesEvery = share.GrantDuration / 6
 
 // loadsInFlight counts the cell's loads in flight.
@@ -40,7 +41,7 @@
 	return share.Loads{}
 }
 
-// requestShares requests a share of the loads at intervals, for the loads in
+// requestShares requests a share of the load limit at intervals, for the loads in
 // flight and the models that requests wait for.
 func (t *leaseTerm) requestShares() {
 	for {
@@ -66,10 +67,11 @@
 }
 
 // desiredLoads returns how many loads the cell could have in flight. It includes
-// one more than are in flight, so that the first request for a cold model finds
-// a share already granted if there are more loads than cells.
+// one more than are in flight and wanted, so that a share is already granted
+// when the first request for a cold model arrives, provided that the load limit
+// exceeds the number of cells.
 func (t *leaseTerm) desiredLoads(using share.Loads, now time.Time) share.Loads {
-	want := share.Loads{Models: using.Models + 1, Adapters: using.Adapters + 1}
+	desired := share.Loads{Models: using.Models + 1, Adapters: using.Adapters + 1}
 
 	for _, d := range t.demand.Merged(now) {
 		if d.Waiting == 0 || len(t.ledger.Model(d.Model)) > 0 {
@@ -77,13 +79,13 @@
 		}
 
 		if t.models[d.Model].Base == "" {
-			want.Models++
+			desired.Models++
 		} else {
-			want.Adapters++
+			desired.Adapters++
 		}
 	}
 
 	return share.Loads{
-		Models: min(want.Models, t.cfg.LoadLimit.Models), Adapters: min(want.Adapters, t.cfg.LoadLimit.Adapters),
+		Models: min(desired.Models, t.cfg.LoadLimit.Models), Adapters: min(desired.Adapters, t.cfg.LoadLimit.Adapters),
 	}
 }
--- a/internal/placement/cell/term.go
+++ b/internal/placement/cell/term.go
@@ -22,8 +22,8 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/record"
 )
 
-// leaseTerm is one uninterrupted time during which this instance holds the
-// cell's lease, with the state that it decides on.
+// leaseTerm is one uninterrupted period during which this instance holds the
+// cell's lease, with the state that its decisions use.
 type leaseTerm struct {
 	*Cell
 
@@ -33,23 +33,25 @@
 	trigger chan struct{}
 	since   time.Time
 
-	mu     sync.Mutex
-	held   lease.Holding
-	ledger ledger.Ledger
-	demand demand.Reports
-	models map[string]weight.Checkpoint
+	mu      sync.Mutex
+	holding lease.Holding
+	ledger  ledger.Ledger
+	demand  demand.Reports
+	models  map[string]weight.Checkpoint
 	// ledgerRead says that the ledger was read from the store, without which
 	// nothing may be decided.
-	ledgerRead   bool
-	targets      map[instance.ID]*engineState
+	ledgerRead bool
+	targets    map[instance.ID]*engineState
+	// loadFailures counts each model's consecutive failed loads, on any target.
 	loadFailures map[string]int
 	loadSpeed    speed
 	waits        []router.Wait
 	published    publication
 	history      modelHistory
-	// granter divides the loads between the cells, if this is the first cell.
+	// granter divides the load limit between the cells, if this is the first
+	// cell.
 	granter share.Granter
-	// granted is this cell's share of the loads, valid until grantedUntil.
+	// granted is this cell's share of the load limit, valid until grantedUntil.
 	granted      share.Loads
 	grantedUntil time.Time
 	// publishNow makes the next round publish, even before publishEvery.
@@ -63,7 +65,7 @@
 	modelsEvery  = 30 * time.Second
 )
 
-func newLeaseTerm(c *Cell, held lease.Holding) *leaseTerm {
+func newLeaseTerm(c *Cell, holding lease.Holding) *leaseTerm {
 	ctx, cancel := context.WithCancel(context.Background())
 
 	t := &leaseTerm{
@@ -72,7 +74,7 @@
 		cancel:       cancel,
 		trigger:      make(chan struct{}, 1),
 		since:        time.Now(),
-		held:         held,
+		holding:      holding,
 		targets:      make(map[instance.ID]*engineState),
 		loadFailures: make(map[string]int),
 		loadSpeed:    speed{perSecond: c.cfg.BytesPerSecond},
@@ -96,17 +98,19 @@
 	}
 }
 
-// stop ends the term and waits until no order of it is in flight.
+// stop cancels the term's context and waits until its goroutines have ended, so
+// that no call for an order is running any more. An order whose call was
+// cancelled may still arrive at its engine.
 func (t *leaseTerm) stop() {
 	t.cancel()
 	t.wg.Wait()
 }
 
-func (t *leaseTerm) setHeld(h lease.Holding) {
+func (t *leaseTerm) setHolding(h lease.Holding) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	t.held = h
+	t.holding = h
 }
 
 // requestRound makes run start the next round at once.
@@ -261,7 +265,7 @@
 
 // decisionSnapshot returns the input of a decision.
 func (t *leaseTerm) decisionSnapshot(now time.Time) *replica.Snapshot {
-	v := &replica.Snapshot{
+	s := &replica.Snapshot{
 		Now:            now,
 		Ledger:         &t.ledger,
 		Models:         t.models,
@@ -272,30 +276,30 @@
 	}
 
 	if t.history.loaded {
-		v.Forecast = &t.history.uses
-		v.Candidates = t.history.candidates(now, t.cfg.Policy.WaitCost)
+		s.Forecast = &t.history.uses
+		s.Candidates = t.history.candidates(now, t.cfg.Policy.WaitCost)
 	}
 
 	for _, p := range t.cfg.Lists().Plans() {
 		if p.Accelerators > 0 {
-			v.Accelerators[p.Name] = p.Accelerators
+			s.Accelerators[p.Name] = p.Accelerators
 		}
 	}
 
 	limit, using := t.loadShare(now), t.loadsInFlight()
-	v.FreeLoads = limit.Models - using.Models
-	v.FreeAdapterLoads = limit.Adapters - using.Adapters
+	s.FreeLoads = limit.Models - using.Models
+	s.FreeAdapterLoads = limit.Adapters - using.Adapters
 
-	v.Targets = t.targetSnapshots(now)
+	s.Targets = t.targetSnapshots(now)
 
-	return v
+	return s
 }
 
 // carryOut carries out the decisions. Loads and unloads run in goroutines of
 // their own, because they wait for the store and the engines.
 func (t *leaseTerm) carryOut(decisions []replica.Decision, now time.Time) {
 	t.waits = t.waits[:0]
-	valid := t.held.Valid(now, t.cfg.Timing)
+	valid := t.holding.Valid(now, t.cfg.Timing)
 
 	for _, d := range decisions {
 		switch d := d.(type) {
@@ -325,8 +329,8 @@
 	}
 }
 
-// countWaiting sets how many requests wait for each model, whether it is loaded
-// or not.
+// countWaiting sets in t.waits how many requests wait for each model, and adds
+// the models that are missing there, loaded or not.
 func (t *leaseTerm) countWaiting(demand []replica.Demand) {
 	for _, d := range demand {
 		if d.Waiting == 0 {
@@ -366,7 +370,7 @@
 		Base:    d.Base,
 		Bytes:   d.Bytes,
 		Plan:    d.Plan,
-		Token:   t.held.Token,
+		Token:   t.holding.Token,
 		Holder:  t.cfg.Self,
 		Process: t.cfg.Process,
 		WriteID: newID(),
@@ -375,7 +379,7 @@
 		},
 	}, e.inventory.Memory)
 	if err != nil {
-		t.cfg.Logger.Error().Err(err).Msg("ledger refused a decided load")
+		t.cfg.Logger.Error().Err(err).Msg("cannot reserve memory for a load")
 
 		return
 	}
@@ -411,7 +415,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	return t.held.Token
+	return t.holding.Token
 }
 
 func isStale(err error) bool {
@@ -435,4 +439,4 @@
 	s.perSecond += gain * (float64(bytes)/d.Seconds() - s.perSecond)
 }
 
-func detail(format string, args ...any) string { return fmt.Sprintf(format, args...) }
+func sprintf(format string, args ...any) string { return fmt.Sprintf(format, args...) }
--- a/internal/placement/cell/world_test.go
+++ b/internal/placement/cell/world_test.go
@@ -34,14 +34,14 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/record"
 )
 
-// world is a platform, several engines and the processes that control one cell,
-// inside a synctest bubble.
+// world is a platform, several engines and the processes that may hold the lease
+// of one cell, inside a synctest bubble.
 type world struct {
-	t        *testing.T
-	platform *platform.Platform
-	weights  *engine.Weights
-	engines  []*engine.Engine
-	checks   bool
+	t            *testing.T
+	platform     *platform.Platform
+	weights      *engine.Weights
+	engines      []*engine.Engine
+	checksTokens bool
 
 	// beforeOrder runs when a process has checked its lease and is about to
 	// send an order; afterCommit runs when a transaction has taken effect and
@@ -49,7 +49,7 @@
 	beforeOrder func(p *proc, o target.Order)
 	afterCommit func(p *proc, tx table.Transaction)
 	// jitter bounds the network delay of an order and of its answer.
-	jitter atomic.Int64 // jitter is a time.Duration.
+	jitter atomic.Int64 // In nanoseconds.
 	// heartbeatsLost says that no heartbeat arrives.
 	heartbeatsLost atomic.Bool
 
@@ -75,7 +75,7 @@
 	set    *peer.Set
 	gate   *pause.Gate
 	cancel context.CancelFunc
-	table  router.Table
+	routes router.Table
 }
 
 const (
@@ -91,10 +91,10 @@
 	t.Helper()
 
 	w := &world{
-		t:        t,
-		platform: &platform.Platform{},
-		weights:  &engine.Weights{BytesPerSecond: 8 * gib, Concurrent: 4},
-		checks:   checksTokens,
+		t:            t,
+		platform:     &platform.Platform{},
+		weights:      &engine.Weights{BytesPerSecond: 8 * gib, Concurrent: 4},
+		checksTokens: checksTokens,
 	}
 
 	for i := range engines {
@@ -102,7 +102,7 @@
 			ID: instance.ID(fmt.Sprintf("engine-%d", i)), Memory: 2*modelBytes + gib, Slots: 4,
 			ChecksToken: checksTokens, Restart: time.Second, Weights: w.weights,
 		})
-		e.OnChange = w.check
+		e.OnChange = w.checkEngine
 		w.engines = append(w.engines, e)
 		w.platform.Announce(instance.Instance{ID: e.ID(), Role: instance.Engine, State: instance.Live})
 	}
@@ -114,12 +114,12 @@
 	return w
 }
 
-// check runs whenever an engine's resident models change: their bytes must fit
-// its memory, and each replica must be counted by the ledger.
-func (w *world) check(id instance.ID, held []target.Held, memory int64) {
+// checkEngine runs whenever an engine's resident models change: their bytes must
+// fit its memory, and each replica must be counted by the ledger.
+func (w *world) checkEngine(id instance.ID, resident []target.Held, memory int64) {
 	var sum int64
 
-	for _, h := range held {
+	for _, h := range resident {
 		sum += h.Bytes
 
 		if _, ok := w.platform.Row(record.LedgerKey(0, ledger.Key{Target: id, Model: h.Model})); !ok {
@@ -169,9 +169,9 @@
 		Weights: w.platform,
 		Fleet:   p.set,
 		Dial: func(in instance.Instance) target.Engine {
-			return gatedEngine{w.engineOf(in.ID), w, p, p.gate}
+			return gatedEngine{w.engineByID(in.ID), w, p, p.gate}
 		},
-		ChecksTokens:    func(instance.ID) bool { return w.checks },
+		ChecksTokens:    func(instance.ID) bool { return w.checksTokens },
 		Leaving:         func(instance.ID) bool { return false },
 		Send:            w.send,
 		NotifySuccessor: func(to instance.ID, _ int) { w.nudge(to) },
@@ -195,8 +195,8 @@
 	return p
 }
 
-// hook sets beforeOrder.
-func (w *world) hook(f func(p *proc, o target.Order)) {
+// hookOrder sets beforeOrder.
+func (w *world) hookOrder(f func(p *proc, o target.Order)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
@@ -226,7 +226,7 @@
 	return append([]*proc(nil), w.procs...)
 }
 
-func (w *world) engineOf(id instance.ID) *engine.Engine {
+func (w *world) engineByID(id instance.ID) *engine.Engine {
 	for _, e := range w.engines {
 		if e.ID() == id {
 			return e
@@ -236,7 +236,7 @@
 	return nil
 }
 
-func (w *world) procOf(id instance.ID) *proc {
+func (w *world) procByID(id instance.ID) *proc {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
@@ -250,18 +250,18 @@
 }
 
 func (w *world) nudge(id instance.ID) {
-	if p := w.procOf(id); p != nil {
+	if p := w.procByID(id); p != nil {
 		p.Wake()
 	}
 }
 
 func (w *world) send(ctx context.Context, to instance.ID, s *router.Snapshot) (bool, error) {
-	p := w.procOf(to)
+	p := w.procByID(to)
 	if p == nil {
 		return false, errors.New("no such entry")
 	}
 
-	return p.table.Apply(s, time.Now()), ctx.Err()
+	return p.routes.Apply(s, time.Now()), ctx.Err()
 }
 
 // heartbeat reads the instance list and sends the process's status to all
@@ -349,7 +349,9 @@
 	return best
 }
 
-// reportWaiting reports to the holder that requests wait for the models.
+// reportWaiting reports to the holder that requests wait for the models. The
+// report's token is higher than any, so that its entry counts as having applied
+// every snapshot.
 func (w *world) reportWaiting(models ...string) {
 	p := w.holder()
 	if p == nil {
@@ -432,7 +434,7 @@
 
 	var b strings.Builder
 
-	fmt.Fprintf(&b, "%s holds token %d;", p.id, t.held.Token)
+	fmt.Fprintf(&b, "%s holds token %d;", p.id, t.holding.Token)
 
 	for id, e := range t.targets {
 		fmt.Fprintf(&b, " %s usable=%v fresh=%v %s orders=%d;", id, e.usable, e.fresh, e.State, e.orders)
--- a/internal/placement/lease/lease.go
+++ b/internal/placement/lease/lease.go
@@ -1,7 +1,7 @@
 // Package lease decides which instance holds a cell's lease. A lease is one
 // row of the store. A second row, the fence, changes only when the lease
-// changes hands: ledger writes require an unchanged fence, and so do not
-// conflict with renewals. The package does no I/O and reads no clock.
+// is acquired: ledger writes require an unchanged fence, and so do not conflict
+// with renewals. The package does no I/O and reads no clock.
 package lease
 
 import (
@@ -42,8 +42,8 @@
 	Stagger time.Duration
 }
 
-// DefaultTiming returns a timing that bounds a failover, from the holder's
-// death to its successor, to about four seconds.
+// DefaultTiming returns a timing that bounds a failover, from the holder's death
+// until its successor has acquired the lease, to about four seconds.
 func DefaultTiming() Timing {
 	return Timing{
 		Duration: 3 * time.Second,
@@ -53,12 +53,12 @@
 	}
 }
 
-// maxClockDrift is the fraction by which one machine's clock may run faster
-// than another's. The holder shortens the lease by it, and the candidates
+// maxClockDrift is the fraction by which a machine's clock may run faster or
+// slower than real time. The holder shortens the lease by it, and the candidates
 // lengthen it.
 const maxClockDrift = 0.02
 
-// Holding is a lease as its holder sees it. The zero value is not held.
+// Holding is the holder's own state of its lease. The zero value is not held.
 type Holding struct {
 	Record
 
@@ -78,7 +78,7 @@
 }
 
 func (e *ExpiredError) Error() string {
-	return fmt.Sprintf("lease: cell %d: token %d has expired", e.Cell, e.Token)
+	return fmt.Sprintf("lease: cell %d: the lease with token %d has expired", e.Cell, e.Token)
 }
 
 // Expiry returns when the lease expires for its holder. It counts from when the
@@ -126,10 +126,10 @@
 // is its position, from zero, in the cell's rendezvous order.
 //
 // A lease that was not released becomes free once its row has not changed for
-// the whole duration on this instance's own clock, so the clocks of different
-// machines are not compared. Each candidate waits longer than the one ranked before it, so
-// that they rarely race; if they do, the condition on the row's version lets
-// only one succeed.
+// the duration, lengthened by maxClockDrift, on this instance's own clock, so
+// the clocks of different machines are not compared. Each candidate waits longer
+// than the one ranked before it, so that they rarely race; if they do, the
+// condition on the row's version lets only one succeed.
 func (w *Watch) Free(now time.Time, t Timing, self instance.ID, rank int) bool {
 	if !w.seen {
 		return false
--- a/internal/placement/lease/lease_test.go
+++ b/internal/placement/lease/lease_test.go
@@ -14,12 +14,12 @@
 // the holder must already regard it as expired.
 func TestOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		terms := DefaultTiming()
+		timing := DefaultTiming()
 		start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		slow := rapid.Float64Range(1-maxClockDrift, 1).Draw(t, "slow")
 		fast := rapid.Float64Range(1, 1+maxClockDrift).Draw(t, "fast")
 
-		on := func(rate float64, passed time.Duration) time.Time {
+		clockAt := func(rate float64, passed time.Duration) time.Time {
 			return start.Add(time.Duration(rate * float64(passed)))
 		}
 
@@ -28,22 +28,22 @@
 		effect := time.Duration(rapid.IntRange(0, 2000).Draw(t, "effect")) * time.Millisecond
 		seen := effect + time.Duration(rapid.IntRange(0, 2000).Draw(t, "seen"))*time.Millisecond
 
-		h := Holding{Record: Record{Token: 1}, RenewalSent: on(slow, 0)}
+		h := Holding{Record: Record{Token: 1}, RenewalSent: clockAt(slow, 0)}
 
 		var w Watch
 
-		w.Observe(7, h.Record, on(fast, seen))
+		w.Observe(7, h.Record, clockAt(fast, seen))
 
 		for passed := seen; passed < 10*time.Second; passed += 10 * time.Millisecond {
-			if w.Free(on(fast, passed), terms, "candidate", 0) && h.Valid(on(slow, passed), terms) {
-				t.Fatalf("both hold it after %s", passed)
+			if w.Free(clockAt(fast, passed), timing, "candidate", 0) && h.Valid(clockAt(slow, passed), timing) {
+				t.Fatalf("the candidate may acquire the lease while the holder's is valid, after %s", passed)
 			}
 		}
 	})
 }
 
 func TestFree(t *testing.T) {
-	terms := DefaultTiming()
+	timing := DefaultTiming()
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	ms := func(n int) time.Time { return now.Add(time.Duration(n) * time.Millisecond) }
 
@@ -51,7 +51,7 @@
 		version uint64
 		record  Record
 		rank    int
-		from    time.Time
+		freeAt  time.Time
 	}{
 		"never held":                   {0, Record{}, 0, ms(0)},
 		"never held, second candidate": {0, Record{}, 1, ms(300)},
@@ -65,17 +65,17 @@
 		t.Run(name, func(t *testing.T) {
 			var w Watch
 
-			assert.Assert(t, !w.Free(now, terms, "me", tc.rank), "the lease was not observed yet")
+			assert.Assert(t, !w.Free(now, timing, "me", tc.rank), "a lease that was not observed must not be free")
 			w.Observe(tc.version, tc.record, now)
-			assert.Assert(t, w.Free(tc.from, terms, "me", tc.rank))
+			assert.Assert(t, w.Free(tc.freeAt, timing, "me", tc.rank))
 
-			if tc.from.After(now) {
-				assert.Assert(t, !w.Free(tc.from.Add(-2*time.Millisecond), terms, "me", tc.rank))
+			if tc.freeAt.After(now) {
+				assert.Assert(t, !w.Free(tc.freeAt.Add(-2*time.Millisecond), timing, "me", tc.rank))
 			}
 
 			// A renewal restarts the wait.
-			w.Observe(tc.version+1, Record{Holder: "a"}, tc.from)
-			assert.Assert(t, !w.Free(tc.from, terms, "me", tc.rank))
+			w.Observe(tc.version+1, Record{Holder: "a"}, tc.freeAt)
+			assert.Assert(t, !w.Free(tc.freeAt, timing, "me", tc.rank))
 		})
 	}
 }
--- a/internal/placement/leaserow/leaserow.go
+++ b/internal/placement/leaserow/leaserow.go
@@ -38,12 +38,12 @@
 	})
 }
 
-// CheckOwner reads the row and returns its version and whether it still names this
-// process with the token.
+// CheckOwner reads the row and returns its version and whether this process still
+// holds the lease with the token: the row names both and is not released.
 //
-// It resolves a conflict with a former renewal of this process that took
-// effect although its answer timed out: the row's version has changed, but the
-// lease is still held.
+// After a conflict it lets the caller recognise an earlier renewal of this
+// process, which took effect although its answer timed out: the row's version
+// has changed, but the lease is still held.
 func (r Row) CheckOwner(ctx context.Context, token uint64) (version uint64, own bool, err error) {
 	rows, err := r.Table.Read(ctx, record.LeaseKey(r.Cell))
 	if err != nil {
@@ -56,9 +56,9 @@
 	return rows[0].Version, own, nil
 }
 
-// maxReleaseAttempts bounds the attempts to write a release. Each one can
-// conflict with a renewal of the same process that is still in flight; there
-// are at most one or two of those.
+// maxReleaseAttempts bounds the attempts to write a release. Each attempt can
+// conflict with a renewal of the same process that is still in flight; at most
+// two such renewals are assumed.
 const maxReleaseAttempts = 3
 
 // Release writes the released lease over the row of the given version. If a
--- a/internal/placement/ledger/ledger.go
+++ b/internal/placement/ledger/ledger.go
@@ -1,6 +1,6 @@
 // Package ledger counts the replicas that are or may be loaded: one row for
 // each model on each target, written before the load order is sent and removed
-// only once the unload is proved. It does no I/O and reads no clock.
+// only once Removable allows it. It does no I/O and reads no clock.
 package ledger
 
 import (
@@ -28,7 +28,7 @@
 	Bytes int64
 	// Plan is the plan whose requests the replica was loaded for.
 	Plan string
-	// Token is the fencing token under which the row was first written.
+	// Token is the fencing token under which the row was written.
 	Token uint64
 	// Holder and Process are the instance and the process that wrote the row.
 	Holder  instance.ID
@@ -47,33 +47,39 @@
 // rebuilds it from the engines' inventories.
 type State struct {
 	Phase target.Phase
-	// Acknowledged says that the engine has answered this holder's load order.
+	// Acknowledged says that the engine has answered this holder's load order,
+	// or that the row was added because its inventory showed the replica.
 	Acknowledged bool
 	// Incarnation is the engine's incarnation when it acknowledged.
 	Incarnation string
-	// InDoubtSince is when the last order for the row without an answer was
-	// sent, which may still arrive. Zero means that all were answered.
+	// InDoubtSince is when the latest unanswered order for the row was sent;
+	// that order may still arrive at the engine. Zero means that this holder has
+	// no unanswered order for the row.
 	InDoubtSince time.Time
-	// Stuck says that the row is to be removed but its proof takes long, so
-	// that decisions must not count on its memory.
+	// Stuck says that the row is to be removed but has waited for longer than
+	// the cell's stuckAfter for proof that it may be, so that decisions must not
+	// rely on its memory becoming free.
 	Stuck bool
 	// Retiring says that the replica gets no new work and is unloaded once it
 	// is idle.
 	Retiring bool
 	// OwnTerm says that the row was written in this lease term, so that no other
-	// process has sent an order for it. Rows that were found in the store at
-	// the takeover are not: their writers may still have orders in flight.
+	// process has sent an order for it. It is false for rows that were found in
+	// the store at the takeover: their writers may still have orders in flight.
 	OwnTerm bool
-	// ResolvedSince is since when the row's writer is proved to have no order
-	// in flight. Zero means that it is not proved.
-	ResolvedSince time.Time
+	// WriterIdleSince is the time from which the row's writer has been proved to
+	// have no order in flight. Zero means that it is not proved.
+	WriterIdleSince time.Time
 	// Since is when the phase last changed.
 	Since time.Time
-	// LastUsed is when a request last ran or waited on the replica.
+	// LastUsed is when an entry last reported that requests run or have run on
+	// the replica; before the first such report, it is when the row was added.
 	LastUsed time.Time
 	// Running is how many requests run on the replica, over all entries.
 	Running int
-	// Failures counts consecutive failed loads.
+	// Failures is how many loads of the row's model, on any target of the cell,
+	// had failed in a row when this row was added, or when its own load last
+	// failed.
 	Failures int
 	// Busy says that an operation on the row is running, so that no other may
 	// start.
@@ -101,8 +107,9 @@
 // It is not safe for concurrent use.
 type Ledger struct {
 	rows map[Key]*Row
-	// usedBytes sums the bytes of all rows by target. A row counts from before
-	// its write until its removal is proved, in every phase.
+	// usedBytes sums the bytes of all rows by target. A row counts, in every
+	// phase, from before it is written to the store until it is removed from
+	// there.
 	usedBytes map[instance.ID]int64
 	// models lists each model's rows, sorted by target.
 	models map[string][]*Row
@@ -112,68 +119,68 @@
 
 // Reserve adds a row. It fails if the key is already counted, or if the
 // target's rows would exceed its memory.
-func (b *Ledger) Reserve(r Row, memory int64) (*Row, error) {
-	if b.rows[r.Key] != nil {
+func (l *Ledger) Reserve(r Row, memory int64) (*Row, error) {
+	if l.rows[r.Key] != nil {
 		return nil, &DuplicateError{Key: r.Key}
 	}
 
-	if used := b.usedBytes[r.Target]; used+r.Bytes > memory {
+	if used := l.usedBytes[r.Target]; used+r.Bytes > memory {
 		return nil, &OvercommitError{Key: r.Key, Used: used, Memory: memory}
 	}
 
-	return b.Adopt(r), nil
+	return l.Adopt(r), nil
 }
 
 // Adopt adds a row, whether it fits or not, for a replica that is or may be
 // loaded already: one whose row was found in the store, or one found on an
 // engine. If the key is already counted, Adopt returns the counted row.
-func (b *Ledger) Adopt(r Row) *Row {
-	if counted := b.rows[r.Key]; counted != nil {
+func (l *Ledger) Adopt(r Row) *Row {
+	if counted := l.rows[r.Key]; counted != nil {
 		return counted
 	}
 
-	b.init()
+	l.init()
 
 	row := &r
-	b.rows[r.Key] = row
-	b.usedBytes[r.Target] += r.Bytes
-	b.models[r.Model] = insert(b.models[r.Model], row)
-	b.targets[r.Target] = insert(b.targets[r.Target], row)
+	l.rows[r.Key] = row
+	l.usedBytes[r.Target] += r.Bytes
+	l.models[r.Model] = insert(l.models[r.Model], row)
+	l.targets[r.Target] = insert(l.targets[r.Target], row)
 
 	return row
 }
 
 // Remove deletes the row, if there is one.
-func (b *Ledger) Remove(k Key) {
-	row := b.rows[k]
+func (l *Ledger) Remove(k Key) {
+	row := l.rows[k]
 	if row == nil {
 		return
 	}
 
-	delete(b.rows, k)
-	b.usedBytes[k.Target] -= row.Bytes
-	b.models[k.Model] = remove(b.models, k.Model, row)
-	b.targets[k.Target] = remove(b.targets, k.Target, row)
+	delete(l.rows, k)
+	l.usedBytes[k.Target] -= row.Bytes
+	l.models[k.Model] = remove(l.models, k.Model, row)
+	l.targets[k.Target] = remove(l.targets, k.Target, row)
 
-	if len(b.models[k.Model]) == 0 {
-		delete(b.models, k.Model)
+	if len(l.models[k.Model]) == 0 {
+		delete(l.models, k.Model)
 	}
 
-	if len(b.targets[k.Target]) == 0 {
-		delete(b.targets, k.Target)
-		delete(b.usedBytes, k.Target)
+	if len(l.targets[k.Target]) == 0 {
+		delete(l.targets, k.Target)
+		delete(l.usedBytes, k.Target)
 	}
 }
 
-func (b *Ledger) init() {
-	if b.rows != nil {
+func (l *Ledger) init() {
+	if l.rows != nil {
 		return
 	}
 
-	b.rows = make(map[Key]*Row)
-	b.usedBytes = make(map[instance.ID]int64)
-	b.models = make(map[string][]*Row)
-	b.targets = make(map[instance.ID][]*Row)
+	l.rows = make(map[Key]*Row)
+	l.usedBytes = make(map[instance.ID]int64)
+	l.models = make(map[string][]*Row)
+	l.targets = make(map[instance.ID][]*Row)
 }
 
 func insert(rows []*Row, row *Row) []*Row {
@@ -196,33 +203,33 @@
 }
 
 // Row returns the row with the key, or nil.
-func (b *Ledger) Row(k Key) *Row { return b.rows[k] }
+func (l *Ledger) Row(k Key) *Row { return l.rows[k] }
 
 // Len returns the number of rows.
-func (b *Ledger) Len() int { return len(b.rows) }
+func (l *Ledger) Len() int { return len(l.rows) }
 
 // UsedBytes returns the bytes counted on the target.
-func (b *Ledger) UsedBytes(t instance.ID) int64 { return b.usedBytes[t] }
+func (l *Ledger) UsedBytes(t instance.ID) int64 { return l.usedBytes[t] }
 
 // Model returns the model's rows, sorted by target.
-func (b *Ledger) Model(name string) []*Row { return b.models[name] }
+func (l *Ledger) Model(name string) []*Row { return l.models[name] }
 
 // Target returns the target's rows, sorted by model.
-func (b *Ledger) Target(t instance.ID) []*Row { return b.targets[t] }
+func (l *Ledger) Target(t instance.ID) []*Row { return l.targets[t] }
 
 // All calls f for every row.
-func (b *Ledger) All(f func(*Row)) {
-	for _, r := range b.rows {
+func (l *Ledger) All(f func(*Row)) {
+	for _, r := range l.rows {
 		f(r)
 	}
 }
 
 // Dependents returns how many adapters on the target have the model as their
 // base.
-func (b *Ledger) Dependents(k Key) int {
+func (l *Ledger) Dependents(k Key) int {
 	n := 0
 
-	for _, r := range b.targets[k.Target] {
+	for _, r := range l.targets[k.Target] {
 		if r.Base == k.Model {
 			n++
 		}
--- a/internal/placement/ledger/ledger_test.go
+++ b/internal/placement/ledger/ledger_test.go
@@ -19,11 +19,11 @@
 	const memory = 100
 
 	rapid.Check(t, func(t *rapid.T) {
-		var b Ledger
+		var l Ledger
 
 		reference := make(map[Key]Row)
 
-		held := func(id instance.ID) int64 {
+		usedBytes := func(id instance.ID) int64 {
 			var n int64
 
 			for k, r := range reference {
@@ -45,8 +45,8 @@
 
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				_, err := b.Reserve(row, memory)
-				fits := !exists && held(k.Target)+row.Bytes <= memory
+				_, err := l.Reserve(row, memory)
+				fits := !exists && usedBytes(k.Target)+row.Bytes <= memory
 
 				if fits != (err == nil) {
 					t.Fatalf("fits: %v, but Reserve returned %v", fits, err)
@@ -56,18 +56,18 @@
 					reference[k] = row
 				}
 			case 2:
-				b.Adopt(row)
+				l.Adopt(row)
 
 				if !exists {
 					reference[k] = row
 				}
 			case 3:
-				b.Remove(k)
+				l.Remove(k)
 				delete(reference, k)
 			}
 
-			if b.Len() != len(reference) || b.UsedBytes(k.Target) != held(k.Target) {
-				t.Fatalf("ledger: %d rows, %d bytes; reference: %d, %d", b.Len(), b.UsedBytes(k.Target), len(reference), held(k.Target))
+			if l.Len() != len(reference) || l.UsedBytes(k.Target) != usedBytes(k.Target) {
+				t.Fatalf("ledger: %d rows, %d bytes; reference: %d, %d", l.Len(), l.UsedBytes(k.Target), len(reference), usedBytes(k.Target))
 			}
 
 			replicas := 0
@@ -78,27 +78,27 @@
 				}
 			}
 
-			if len(b.Model(k.Model)) != replicas {
-				t.Fatalf("ledger: %d replicas; reference: %d", len(b.Model(k.Model)), replicas)
+			if len(l.Model(k.Model)) != replicas {
+				t.Fatalf("ledger: %d replicas; reference: %d", len(l.Model(k.Model)), replicas)
 			}
 		}
 	})
 }
 
 func TestReserveErrors(t *testing.T) {
-	var b Ledger
+	var l Ledger
 
-	_, err := b.Reserve(Row{Key: Key{"t", "a"}, Bytes: 60}, 100)
+	_, err := l.Reserve(Row{Key: Key{"t", "a"}, Bytes: 60}, 100)
 	assert.NilError(t, err)
 
-	_, err = b.Reserve(Row{Key: Key{"t", "b"}, Bytes: 41}, 100)
+	_, err = l.Reserve(Row{Key: Key{"t", "b"}, Bytes: 41}, 100)
 
 	var over *OvercommitError
 
 	assert.Assert(t, errors.As(err, &over))
 	assert.Equal(t, over.Used, int64(60))
 
-	_, err = b.Reserve(Row{Key: Key{"t", "a"}}, 100)
+	_, err = l.Reserve(Row{Key: Key{"t", "a"}}, 100)
 
 	var duplicate *DuplicateError
 
@@ -125,25 +125,25 @@
 		"own, still loaded":                                    {State{OwnTerm: true, Acknowledged: true, Incarnation: "i2"}, Evidence{Inventory: holding}, false},
 		"own, no inventory":                                    {State{OwnTerm: true, Acknowledged: true, Incarnation: "i2"}, Evidence{}, false},
 		"own, order in doubt":                                  {State{OwnTerm: true, InDoubtSince: now.Add(-time.Second)}, Evidence{Inventory: empty}, false},
-		"own, in doubt for longer than an order lives":         {State{OwnTerm: true, InDoubtSince: now.Add(-long)}, Evidence{Inventory: empty}, true},
+		"own, in doubt for longer than OrderLifetime":          {State{OwnTerm: true, InDoubtSince: now.Add(-long)}, Evidence{Inventory: empty}, true},
 		"own, in doubt, an order answered by this incarnation": {State{OwnTerm: true, Acknowledged: true, Incarnation: "i2", InDoubtSince: now}, Evidence{Inventory: empty}, true},
 		"own, in doubt, an order answered by an earlier incarnation": {
 			State{OwnTerm: true, Acknowledged: true, Incarnation: "i1", InDoubtSince: now}, Evidence{Inventory: empty}, false,
 		},
-		"adopted, writer not resolved, token raised": {
+		"adopted, writer not proved idle, token raised": {
 			State{Acknowledged: true, Incarnation: "i2"}, Evidence{Inventory: empty, ChecksTokens: true, Token: 5}, false,
 		},
-		"adopted, writer resolved, token raised": {
-			State{}, Evidence{Inventory: empty, ChecksTokens: true, Token: 5, Resolved: 1}, true,
+		"adopted, writer idle, token raised": {
+			State{}, Evidence{Inventory: empty, ChecksTokens: true, Token: 5, WriterIdle: 1}, true,
 		},
-		"adopted, writer resolved, token not raised yet": {
-			State{}, Evidence{Inventory: empty, ChecksTokens: true, Token: 6, Resolved: time.Second}, false,
+		"adopted, writer idle, token not raised yet": {
+			State{}, Evidence{Inventory: empty, ChecksTokens: true, Token: 6, WriterIdle: time.Second}, false,
 		},
-		"adopted, writer just resolved, tokens ignored": {
-			State{}, Evidence{Inventory: empty, Token: 5, Resolved: time.Second}, false,
+		"adopted, writer just proved idle, tokens ignored": {
+			State{}, Evidence{Inventory: empty, Token: 5, WriterIdle: time.Second}, false,
 		},
-		"adopted, writer resolved for longer than an order lives, tokens ignored": {
-			State{}, Evidence{Inventory: empty, Token: 5, Resolved: long}, true,
+		"adopted, writer idle for longer than OrderLifetime, tokens ignored": {
+			State{}, Evidence{Inventory: empty, Token: 5, WriterIdle: long}, true,
 		},
 		"target gone": {State{InDoubtSince: now}, Evidence{TargetGone: true}, true},
 	} {
--- a/internal/placement/ledger/prove.go
+++ b/internal/placement/ledger/removable.go
@@ -7,25 +7,27 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/target"
 )
 
-// OrderLifetime bounds how long after it was sent an order may still be carried
-// out by an engine. It is an assumption about the platform's network and
-// engines: an order that has not begun by then is lost.
+// OrderLifetime is the longest time after an order was sent at which an engine
+// may still begin to carry it out. It is an assumption about the platform's
+// network and engines: an order that was not begun by then is never carried out.
 const OrderLifetime = 15 * time.Second
 
 // Evidence is the input to the decision whether a row may be removed.
 type Evidence struct {
 	Now time.Time
-	// Inventory was read from the engine after the row's last order was
-	// answered. Nil means that there is no such inventory.
+	// Inventory is the engine's current inventory: no order to the engine is in
+	// flight, and none has been answered whose effect it may lack. Nil means
+	// that there is no such inventory.
 	Inventory *target.Inventory
 	// ChecksTokens says that the engine refuses orders with old fencing tokens.
 	ChecksTokens bool
 	// Token is the current holder's fencing token.
 	Token uint64
-	// Resolved is for how long the process that wrote the row has been proved
-	// to have no order in flight: it is this process, it reported so, or it is
-	// gone. Zero means that it is not proved.
-	Resolved time.Duration
+	// WriterIdle is the time that has passed since the process that wrote the
+	// row was proved to have no order in flight: because the process ran on this
+	// instance, has reported so, or is gone. An order whose call was cancelled
+	// or timed out may still arrive. Zero means that it is not proved.
+	WriterIdle time.Duration
 	// TargetGone says that the target has been missing from the instance list
 	// for longer than the list lags.
 	TargetGone bool
@@ -37,17 +39,18 @@
 // A row that is removed too early leaves a replica uncounted: an order that
 // arrives late, from a holder that was paused past its lease or through a slow
 // network, would load it, and the next load would overcommit the target's
-// memory. A row may therefore be removed only if the engine's inventory does
-// not show its model and no order for the row can take effect any more:
+// memory. If the target is gone, the row may be removed at once. Otherwise it may
+// be removed only if the engine's inventory does not show its model and no order
+// for the row can take effect any more:
 //
-//   - Orders of former holders: the process that wrote the row has no order in
-//     flight, and either the engine checks tokens and has received this
-//     holder's, or OrderLifetime has passed since. The token alone is not
-//     enough: an engine forgets it when it restarts, and would carry out the
-//     delayed order of a paused holder until this holder raises the token
-//     again.
-//   - This holder's own orders: all were answered, or the last one without an
-//     answer was sent more than OrderLifetime ago, or this incarnation of the
+//   - Orders of former holders: the process that wrote the row is proved to have
+//     no order in flight, and either the engine checks tokens and has received
+//     this holder's token, or OrderLifetime has passed since that proof. The
+//     token alone is not enough: an engine loses its token when it restarts, and
+//     would carry out the delayed order of a paused holder until this holder
+//     raises the token again.
+//   - This holder's own orders: all were answered, or the latest unanswered one
+//     was sent more than OrderLifetime ago, or this incarnation of the
 //     engine has answered one of them. All orders to load a row have the same
 //     id, in every lease term, so the engine carries out only the first.
 func (r *Row) Removable(e Evidence) bool {
@@ -59,7 +62,7 @@
 		return false
 	}
 
-	if !r.State.OwnTerm && !e.formerResolved() {
+	if !r.State.OwnTerm && !e.formerOrdersOver() {
 		return false
 	}
 
@@ -68,14 +71,14 @@
 	return acknowledged || r.State.InDoubtSince.IsZero() || e.Now.Sub(r.State.InDoubtSince) > OrderLifetime
 }
 
-// formerResolved reports whether no order of a former holder can take effect
+// formerOrdersOver reports whether no order of a former holder can take effect
 // any more.
-func (e *Evidence) formerResolved() bool {
+func (e *Evidence) formerOrdersOver() bool {
 	if e.ChecksTokens && e.Inventory.Token >= e.Token {
-		return e.Resolved > 0
+		return e.WriterIdle > 0
 	}
 
-	return e.Resolved > OrderLifetime
+	return e.WriterIdle > OrderLifetime
 }
 
 func (r *Row) residentIn(inv *target.Inventory) bool {
