--- a/internal/serving/claim/batch.go
+++ b/internal/serving/claim/batch.go
@@ -32,8 +32,9 @@
 // maxBatch bounds the rows of one transaction.
 const maxBatch = 32
 
-// batchTimeout bounds the attempts of one transaction. It is short because
-// clients wait and no request has been sent yet.
+// batchTimeout bounds the writing of one batch, including the separate
+// transactions after a conflict. It is short because clients wait and no request
+// has been sent yet.
 const batchTimeout = 1500 * time.Millisecond
 
 // put writes the row if it is absent and returns its version. Claims that
--- a/internal/serving/claim/claim.go
+++ b/internal/serving/claim/claim.go
@@ -55,8 +55,8 @@
 // Answered means that the request ran before.
 type Answered struct{ Answer Answer }
 
-// Pending means that another process has claimed the key and the request may
-// still be running.
+// Pending means that another request has claimed the key and may still be
+// running. Entry and Process are those that made the claim.
 type Pending struct {
 	Entry   instance.ID
 	Process string
@@ -102,44 +102,44 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// Acquire claims the key. After an error the claim is unconfirmed, and the request
-// must not be sent.
-func (b *Registry) Acquire(ctx context.Context, key, digest string) (Outcome, error) {
+// Acquire claims the key. After an error the request must not be sent: its claim
+// is unconfirmed, or the key is claimed already and the outcome could not be read.
+func (r *Registry) Acquire(ctx context.Context, key, digest string) (Outcome, error) {
 	row := record.Claim{
 		Digest:  digest,
-		Entry:   string(b.Entry),
-		Process: b.Process,
+		Entry:   string(r.Entry),
+		Process: r.Process,
 		WriteID: uuid.NewString(),
 		State:   string(Claimed),
 		At:      time.Now(),
 	}
 
-	version, err := b.batch.put(ctx, b.Table, key, record.EncodeClaim(row))
+	version, err := r.batch.put(ctx, r.Table, key, record.EncodeClaim(row))
 
 	switch {
 	case err == nil:
 		return Acquired{&Claim{Key: key, version: version, row: row}}, nil
 	case table.IsConflict(err):
-		return b.Lookup(ctx, key, digest)
+		return r.Lookup(ctx, key, digest)
 	}
 
 	// The claim may still take effect. Nothing was sent under it, so it is
 	// withdrawn in the background. Until then, a repeated request finds it
 	// pending.
-	go b.withdrawUnconfirmed(key, row.WriteID)
+	go r.withdrawUnconfirmed(key, row.WriteID)
 
 	return nil, err
 }
 
 // Lookup returns the outcome of a key that is already claimed.
-func (b *Registry) Lookup(ctx context.Context, key, digest string) (Outcome, error) {
-	rows, err := b.Table.Read(ctx, key)
+func (r *Registry) Lookup(ctx context.Context, key, digest string) (Outcome, error) {
+	rows, err := r.Table.Read(ctx, key)
 	if err != nil {
 		return nil, err
 	}
 
 	if rows[0].Version == 0 {
-		// It was withdrawn meanwhile. The client may retry.
+		// The claim was withdrawn meanwhile. The client may retry.
 		return nil, &WithdrawnError{Key: key}
 	}
 
@@ -154,7 +154,7 @@
 
 	switch State(row.State) {
 	case Done:
-		return b.answered(ctx, row)
+		return r.answered(ctx, row)
 	case InDoubt:
 		return Doubtful{}, nil
 	case Claimed:
@@ -168,11 +168,11 @@
 
 func (e *WithdrawnError) Error() string { return "claim: " + e.Key + " was withdrawn" }
 
-func (b *Registry) answered(ctx context.Context, row record.Claim) (Outcome, error) {
+func (r *Registry) answered(ctx context.Context, row record.Claim) (Outcome, error) {
 	a := Answer{Status: row.Status, ContentType: row.ContentType, Body: row.Body}
 
 	if row.Object != "" {
-		body, err := b.Objects.Get(ctx, row.Object)
+		body, err := r.Objects.Get(ctx, row.Object)
 		if err != nil {
 			return nil, err
 		}
@@ -186,36 +186,37 @@
 // maxInlineBody is the largest answer that is stored in the row itself.
 const maxInlineBody = 32 << 10
 
-// Finish stores the answer. While the store is unavailable it retries until ctx
-// ends.
-func (b *Registry) Finish(ctx context.Context, c *Claim, a Answer) error {
+// Finish stores the answer. While the store is unavailable it retries the write
+// of the row until ctx ends; an error of the object store, which holds large
+// answers, is returned at once.
+func (r *Registry) Finish(ctx context.Context, c *Claim, a Answer) error {
 	row := c.row
 	row.State = string(Done)
 	row.Status, row.ContentType, row.Body = a.Status, a.ContentType, a.Body
 
 	if len(a.Body) > maxInlineBody {
 		row.Object, row.Body = "answers/"+c.row.WriteID, nil
-		if err := b.Objects.Put(ctx, row.Object, a.Body); err != nil {
+		if err := r.Objects.Put(ctx, row.Object, a.Body); err != nil {
 			return err
 		}
 	}
 
-	return b.replace(ctx, c, row)
+	return r.replace(ctx, c, row)
 }
 
-// MarkInDoubt records that the request was sent and no answer was received, so that a
-// repeated request finds this at once.
-func (b *Registry) MarkInDoubt(ctx context.Context, c *Claim) error {
+// MarkInDoubt records that the request was sent and no answer was received, so
+// that a repeated request finds this at once.
+func (r *Registry) MarkInDoubt(ctx context.Context, c *Claim) error {
 	row := c.row
 	row.State = string(InDoubt)
 
-	return b.replace(ctx, c, row)
+	return r.replace(ctx, c, row)
 }
 
-func (b *Registry) replace(ctx context.Context, c *Claim, row record.Claim) error {
+func (r *Registry) replace(ctx context.Context, c *Claim, row record.Claim) error {
 	row.WriteID = uuid.NewString()
 
-	version, err := table.Settle(ctx, b.Table, table.Transaction{
+	version, err := table.Settle(ctx, r.Table, table.Transaction{
 		Conditions: []table.Condition{{Key: c.Key, Version: c.version}},
 		Writes:     []table.Write{{Key: c.Key, Value: record.EncodeClaim(row)}},
 	})
@@ -230,11 +231,12 @@
 
 // Withdraw deletes a claim under which nothing was sent, so that the request
 // may be sent again.
-func (b *Registry) Withdraw(ctx context.Context, c *Claim) error {
-	return table.SettleDelete(ctx, b.Table, c.Key, c.version)
+func (r *Registry) Withdraw(ctx context.Context, c *Claim) error {
+	return table.SettleDelete(ctx, r.Table, c.Key, c.version)
 }
 
-// Timing of the withdrawal of an unconfirmed claim.
+// Timing of the withdrawal of an unconfirmed claim. withdrawUnconfirmed stops
+// after the row was absent for absenceToStop.
 const (
 	withdrawTimeout  = 2 * time.Minute
 	withdrawInterval = time.Second
@@ -242,16 +244,17 @@
 )
 
 // withdrawUnconfirmed deletes a claim whose write may take effect late. It
-// returns after it has deleted the claim, or after the row was absent for
-// absenceToStop while the store answered.
-func (b *Registry) withdrawUnconfirmed(key, writeID string) {
+// returns after it has deleted the claim, when it finds a row of another write,
+// after the row was absent for absenceToStop while the store answered, or after
+// withdrawTimeout.
+func (r *Registry) withdrawUnconfirmed(key, writeID string) {
 	ctx, cancel := context.WithTimeout(context.Background(), withdrawTimeout)
 	defer cancel()
 
 	var absentSince time.Time
 
 	for ctx.Err() == nil {
-		rows, err := b.Table.Read(ctx, key)
+		rows, err := r.Table.Read(ctx, key)
 
 		switch {
 		case err != nil:
@@ -270,7 +273,7 @@
 				return
 			}
 
-			if table.SettleDelete(ctx, b.Table, key, rows[0].Version) == nil {
+			if table.SettleDelete(ctx, r.Table, key, rows[0].Version) == nil {
 				return
 			}
 		}
@@ -282,33 +285,33 @@
 // Retention is how long a claim is kept after it was made.
 const Retention = 24 * time.Hour
 
-// Sweep deletes claims older than the retention. It scans at most limit claims,
-// starting behind the key after, and returns the key to continue from, or "" at
-// the end.
-func (b *Registry) Sweep(ctx context.Context, after string, limit int, now time.Time) (string, error) {
-	rows, err := b.Table.Scan(ctx, record.ClaimsPrefix, after, limit)
+// Sweep deletes claims older than Retention. It scans at most limit claims whose
+// keys are greater than after, and returns the value of after for the next call,
+// or "" at the end.
+func (r *Registry) Sweep(ctx context.Context, after string, limit int, now time.Time) (string, error) {
+	rows, err := r.Table.Scan(ctx, record.ClaimsPrefix, after, limit)
 	if err != nil {
 		return after, err
 	}
 
 	var tx table.Transaction
 
-	for _, r := range rows {
-		row, err := record.DecodeClaim(r.Key, r.Value)
+	for _, stored := range rows {
+		row, err := record.DecodeClaim(stored.Key, stored.Value)
 		if err != nil || now.Sub(row.At) < Retention {
 			continue
 		}
 
 		if row.Object != "" {
-			_ = b.Objects.Delete(ctx, row.Object)
+			_ = r.Objects.Delete(ctx, row.Object)
 		}
 
-		tx.Conditions = append(tx.Conditions, table.Condition{Key: r.Key, Version: r.Version})
-		tx.Writes = append(tx.Writes, table.Write{Key: r.Key, Delete: true})
+		tx.Conditions = append(tx.Conditions, table.Condition{Key: stored.Key, Version: stored.Version})
+		tx.Writes = append(tx.Writes, table.Write{Key: stored.Key, Delete: true})
 	}
 
 	if len(tx.Writes) > 0 {
-		if _, err := b.Table.Commit(ctx, tx); err != nil {
+		if _, err := r.Table.Commit(ctx, tx); err != nil {
 			return after, err
 		}
 	}
--- a/internal/serving/claim/claim_test.go
+++ b/internal/serving/claim/claim_test.go
@@ -17,13 +17,13 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/record"
 )
 
-func newBook(p *platform.Platform, id string) *Registry {
+func newRegistry(p *platform.Platform, id string) *Registry {
 	return &Registry{Table: p, Objects: p, Entry: instance.ID(id), Process: id}
 }
 
-// TestOneWinner sends a stamp booking to eight entries at once while answers of
-// the store are lost. Exactly one entry may forward it, and the others must
-// find the claim and later its answer.
+// TestOneWinner claims one key on eight entries at once while answers of the
+// store are lost. Exactly one entry may acquire it, and the others must find the
+// claim and later its answer.
 func TestOneWinner(t *testing.T) {
 	for _, lost := range []int{0, 1, 5} {
 		synctest.Test(t, func(t *testing.T) {
@@ -35,16 +35,16 @@
 				seen []Outcome
 			)
 
-			books := make([]*Registry, 8)
-			for i := range books {
-				books[i] = newBook(&p, fmt.Sprint(i))
+			registries := make([]*Registry, 8)
+			for i := range registries {
+				registries[i] = newRegistry(&p, fmt.Sprint(i))
 			}
 
 			p.SetFaults(platform.Faults{LoseAnswers: lost})
 
-			for _, b := range books {
+			for _, r := range registries {
 				wg.Go(func() {
-					o, err := b.Acquire(t.Context(), "claim/c/k", "digest")
+					o, err := r.Acquire(t.Context(), "claim/c/k", "digest")
 					assert.Check(t, err)
 
 					mu.Lock()
@@ -68,13 +68,13 @@
 			}
 
 			answer := Answer{Status: 201, ContentType: "text/plain", Body: []byte("stamped")}
-			assert.NilError(t, books[0].Finish(t.Context(), won[0], answer))
+			assert.NilError(t, registries[0].Finish(t.Context(), won[0], answer))
 
-			o, err := books[3].Acquire(t.Context(), "claim/c/k", "digest")
+			o, err := registries[3].Acquire(t.Context(), "claim/c/k", "digest")
 			assert.NilError(t, err)
 			assert.DeepEqual(t, o, Answered{answer})
 
-			o, err = books[3].Acquire(t.Context(), "claim/c/k", "another request")
+			o, err = registries[3].Acquire(t.Context(), "claim/c/k", "another request")
 			assert.NilError(t, err)
 			assert.DeepEqual(t, o, KeyReused{})
 			time.Sleep(5 * time.Minute)
@@ -82,19 +82,19 @@
 	}
 }
 
-// TestTableDown books during an outage of the store. The claim cannot be
+// TestTableDown claims a key during an outage of the store. The claim cannot be
 // confirmed, so the request must not be sent. The write may still take effect
 // later; it must not block the client's retries for ever.
 func TestTableDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p platform.Platform
 
-		b := newBook(&p, "a")
+		r := newRegistry(&p, "a")
 		slow := &late{Platform: &p}
 		slow.after.Store(int64(10 * time.Second))
-		b.Table = slow
+		r.Table = slow
 
-		_, err := b.Acquire(t.Context(), "claim/c/k", "d")
+		_, err := r.Acquire(t.Context(), "claim/c/k", "d")
 		assert.Assert(t, err != nil)
 
 		// The write takes effect ten seconds later.
@@ -106,7 +106,7 @@
 
 		slow.after.Store(0)
 
-		o, err := b.Acquire(t.Context(), "claim/c/k", "d")
+		o, err := r.Acquire(t.Context(), "claim/c/k", "d")
 		assert.NilError(t, err)
 
 		_, ok = o.(Acquired)
@@ -136,34 +136,34 @@
 func TestStates(t *testing.T) {
 	var p platform.Platform
 
-	b := newBook(&p, "a")
-	take := func(key string) Outcome {
-		o, err := b.Acquire(t.Context(), key, "d")
+	r := newRegistry(&p, "a")
+	acquire := func(key string) Outcome {
+		o, err := r.Acquire(t.Context(), key, "d")
 		assert.NilError(t, err)
 
 		return o
 	}
 
-	// Sent, and no answer came.
-	c := take("claim/c/doubt").(Acquired).Claim
-	assert.NilError(t, b.MarkInDoubt(t.Context(), c))
-	assert.DeepEqual(t, take("claim/c/doubt"), Doubtful{})
+	// Sent, and no answer was received.
+	c := acquire("claim/c/doubt").(Acquired).Claim
+	assert.NilError(t, r.MarkInDoubt(t.Context(), c))
+	assert.DeepEqual(t, acquire("claim/c/doubt"), Doubtful{})
 
 	// Nothing was sent, so a repeated request may run.
-	c = take("claim/c/none").(Acquired).Claim
-	assert.NilError(t, b.Withdraw(t.Context(), c))
+	c = acquire("claim/c/none").(Acquired).Claim
+	assert.NilError(t, r.Withdraw(t.Context(), c))
 
-	_, ok := take("claim/c/none").(Acquired)
+	_, ok := acquire("claim/c/none").(Acquired)
 	assert.Assert(t, ok)
 
-	_, err := b.Lookup(t.Context(), "claim/c/never", "d")
+	_, err := r.Lookup(t.Context(), "claim/c/never", "d")
 	assert.Assert(t, IsWithdrawn(err))
 
 	// A large answer goes to the object store.
-	c = take("claim/c/large").(Acquired).Claim
+	c = acquire("claim/c/large").(Acquired).Claim
 	large := Answer{Status: 200, Body: make([]byte, maxInlineBody+1)}
-	assert.NilError(t, b.Finish(t.Context(), c, large))
-	assert.DeepEqual(t, take("claim/c/large"), Answered{large})
+	assert.NilError(t, r.Finish(t.Context(), c, large))
+	assert.DeepEqual(t, acquire("claim/c/large"), Answered{large})
 
 	row, _ := p.Row("claim/c/large")
 	assert.Assert(t, len(row.Value) < 1000)
@@ -175,12 +175,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		var p platform.Platform
 
-		b := newBook(&p, "a")
-		_, err := b.Acquire(t.Context(), "claim/c/7", "d")
+		r := newRegistry(&p, "a")
+		_, err := r.Acquire(t.Context(), "claim/c/7", "d")
 		assert.NilError(t, err)
 
 		counted := &counting{Platform: &p}
-		b.Table = counted
+		r.Table = counted
 
 		p.SetFaults(platform.Faults{TableDelay: 10 * time.Millisecond})
 
@@ -192,7 +192,7 @@
 
 		for i := range 60 {
 			wg.Go(func() {
-				o, err := b.Acquire(t.Context(), fmt.Sprint("claim/c/", i%30), "d")
+				o, err := r.Acquire(t.Context(), fmt.Sprint("claim/c/", i%30), "d")
 				assert.Check(t, err)
 
 				mu.Lock()
@@ -211,7 +211,7 @@
 
 		for i := range 64 {
 			wg.Go(func() {
-				_, err := b.Acquire(t.Context(), fmt.Sprint("claim/c/new-", i), "d")
+				_, err := r.Acquire(t.Context(), fmt.Sprint("claim/c/new-", i), "d")
 				assert.Check(t, err)
 			})
 		}
@@ -236,17 +236,17 @@
 func TestSweep(t *testing.T) {
 	var p platform.Platform
 
-	b := newBook(&p, "a")
+	r := newRegistry(&p, "a")
 
 	for i := range 25 {
-		_, err := b.Acquire(t.Context(), fmt.Sprintf("claim/c/%02d", i), "d")
+		_, err := r.Acquire(t.Context(), fmt.Sprintf("claim/c/%02d", i), "d")
 		assert.NilError(t, err)
 	}
 
 	after, sweeps := "", 0
 	for after != "" || sweeps == 0 {
 		var err error
-		after, err = b.Sweep(t.Context(), after, 10, time.Now().Add(Retention+time.Minute))
+		after, err = r.Sweep(t.Context(), after, 10, time.Now().Add(Retention+time.Minute))
 		assert.NilError(t, err)
 
 		sweeps++
--- a/internal/serving/crash/crash.go
+++ b/internal/serving/crash/crash.go
@@ -48,57 +48,58 @@
 // whether this blocked the request. A death counts once, however often the
 // request was sent to the target before the death was detected.
 func (r *Registry) RecordDeath(fp request.Fingerprint, d Death, now time.Time) bool {
-	s := r.get(fp, now)
-	s.deaths[d] = true
-	s.until = now.Add(retention)
+	rec := r.get(fp, now)
+	rec.deaths[d] = true
+	rec.until = now.Add(retention)
 
-	if s.blocked || len(s.deaths) < deathsToBlock {
+	if rec.blocked || len(rec.deaths) < deathsToBlock {
 		return false
 	}
 
-	s.blocked = true
+	rec.blocked = true
 
 	return true
 }
 
 // Block blocks a request that a peer has blocked.
 func (r *Registry) Block(fp request.Fingerprint, now time.Time) {
-	s := r.get(fp, now)
-	s.blocked = true
-	s.until = now.Add(retention)
+	rec := r.get(fp, now)
+	rec.blocked = true
+	rec.until = now.Add(retention)
 }
 
-// Clear removes the record of a request that ran to its end, unless it is
-// blocked.
+// Clear removes the record of a request that has completed, unless the request
+// is blocked.
 func (r *Registry) Clear(fp request.Fingerprint) {
-	if s := r.records[fp]; s != nil && !s.blocked {
+	if rec := r.records[fp]; rec != nil && !rec.blocked {
 		delete(r.records, fp)
 	}
 }
 
 // IsBlocked reports whether the request is blocked, and for how much longer.
 func (r *Registry) IsBlocked(fp request.Fingerprint, now time.Time) (time.Duration, bool) {
-	s := r.records[fp]
-	if s == nil || !s.blocked || !now.Before(s.until) {
+	rec := r.records[fp]
+	if rec == nil || !rec.blocked || !now.Before(rec.until) {
 		return 0, false
 	}
 
-	return s.until.Sub(now), true
+	return rec.until.Sub(now), true
 }
 
-// IsSuspect reports whether a target died recently while it ran the request.
+// IsSuspect reports whether a target died recently while it ran the request, or
+// the request is blocked.
 func (r *Registry) IsSuspect(fp request.Fingerprint, now time.Time) bool {
-	s := r.records[fp]
+	rec := r.records[fp]
 
-	return s != nil && now.Before(s.until)
+	return rec != nil && now.Before(rec.until)
 }
 
 // Blocked returns the blocked fingerprints.
 func (r *Registry) Blocked(now time.Time) []request.Fingerprint {
 	var out []request.Fingerprint
 
-	for fp, s := range r.records {
-		if s.blocked && now.Before(s.until) {
+	for fp, rec := range r.records {
+		if rec.blocked && now.Before(rec.until) {
 			out = append(out, fp)
 		}
 	}
@@ -111,15 +112,15 @@
 		r.records = make(map[request.Fingerprint]*record)
 	}
 
-	s := r.records[fp]
-	if s == nil || !now.Before(s.until) {
+	rec := r.records[fp]
+	if rec == nil || !now.Before(rec.until) {
 		r.evict(now)
 
-		s = &record{deaths: make(map[Death]bool)}
-		r.records[fp] = s
+		rec = &record{deaths: make(map[Death]bool)}
+		r.records[fp] = rec
 	}
 
-	return s
+	return rec
 }
 
 // evict removes the expired records of a full registry, and one more if it is
@@ -133,15 +134,15 @@
 
 	var found *record
 
-	for fp, s := range r.records {
-		if !now.Before(s.until) {
+	for fp, rec := range r.records {
+		if !now.Before(rec.until) {
 			delete(r.records, fp)
 
 			continue
 		}
 
-		if found == nil || !s.blocked && found.blocked || s.blocked == found.blocked && s.until.Before(found.until) {
-			oldest, found = fp, s
+		if found == nil || !rec.blocked && found.blocked || rec.blocked == found.blocked && rec.until.Before(found.until) {
+			oldest, found = fp, rec
 		}
 	}
 
--- a/internal/serving/crash/crash_test.go
+++ b/internal/serving/crash/crash_test.go
@@ -17,52 +17,54 @@
 	return Death{Target: instance.ID(target), Incarnation: incarnation}
 }
 
-// TestPoison sends a request that crashes each target again and again. It must
+// TestPoison records that targets die while they run one request. The request must
 // be blocked after the second death, and allowed again after ten minutes.
 func TestPoison(t *testing.T) {
-	var b Registry
+	var r Registry
 
-	assert.Assert(t, !b.RecordDeath(1, death("t1", "a"), now))
-	assert.Assert(t, b.IsSuspect(1, now))
-	assert.Assert(t, !b.RecordDeath(1, death("t1", "a"), now), "one death counts once")
-	assert.Assert(t, b.RecordDeath(1, death("t1", "b"), now), "the death of a restarted target counts")
+	assert.Assert(t, !r.RecordDeath(1, death("t1", "a"), now))
+	assert.Assert(t, r.IsSuspect(1, now))
+	assert.Assert(t, !r.RecordDeath(1, death("t1", "a"), now), "one death counts once")
+	assert.Assert(t, r.RecordDeath(1, death("t1", "b"), now), "the death of a restarted target counts")
 
-	left, blocked := b.IsBlocked(1, now.Add(retention-time.Second))
+	left, blocked := r.IsBlocked(1, now.Add(retention-time.Second))
 	assert.Assert(t, blocked)
 	assert.Equal(t, left, time.Second)
 
-	_, blocked = b.IsBlocked(1, now.Add(retention))
+	_, blocked = r.IsBlocked(1, now.Add(retention))
 	assert.Assert(t, !blocked)
 }
 
-func TestBystander(t *testing.T) {
-	var b Registry
+// TestClear checks that a request that has completed is no longer a suspect, and
+// that a block is not cleared.
+func TestClear(t *testing.T) {
+	var r Registry
 
-	b.RecordDeath(1, death("t1", "a"), now)
-	b.Clear(1)
-	assert.Assert(t, !b.IsSuspect(1, now))
-	assert.Assert(t, !b.RecordDeath(1, death("t2", "a"), now), "it ran to its end in between")
+	r.RecordDeath(1, death("t1", "a"), now)
+	r.Clear(1)
+	assert.Assert(t, !r.IsSuspect(1, now))
+	assert.Assert(t, !r.RecordDeath(1, death("t2", "a"), now), "it completed in between")
 
 	// A complete answer does not clear a block that a peer has reported.
-	b.Block(2, now)
-	b.Clear(2)
+	r.Block(2, now)
+	r.Clear(2)
 
-	_, blocked := b.IsBlocked(2, now)
+	_, blocked := r.IsBlocked(2, now)
 	assert.Assert(t, blocked)
-	assert.DeepEqual(t, b.Blocked(now), []request.Fingerprint{2})
+	assert.DeepEqual(t, r.Blocked(now), []request.Fingerprint{2})
 }
 
 func TestRegistryIsBounded(t *testing.T) {
-	var b Registry
+	var r Registry
 
-	b.Block(0, now)
+	r.Block(0, now)
 
 	for i := range 2 * maxRecords {
-		b.RecordDeath(request.Fingerprint(i+1), death(fmt.Sprint(i), ""), now.Add(time.Duration(i)))
+		r.RecordDeath(request.Fingerprint(i+1), death(fmt.Sprint(i), ""), now.Add(time.Duration(i)))
 	}
 
-	assert.Assert(t, len(b.records) <= maxRecords)
+	assert.Assert(t, len(r.records) <= maxRecords)
 
-	_, blocked := b.IsBlocked(0, now)
+	_, blocked := r.IsBlocked(0, now)
 	assert.Assert(t, blocked, "blocked requests are evicted last")
 }
--- a/internal/serving/dispatch/acquire.go
+++ b/internal/serving/dispatch/acquire.go
@@ -11,7 +11,7 @@
 
 // Acquire queues the request until a target that holds its model accepts it,
 // and counts the request on that target. The returned bool says whether the
-// model was cold. The caller must release the target with Return.
+// model was cold. The caller must release the target with Release.
 //
 // It is for requests that another package forwards. Do acquires its targets
 // itself.
@@ -46,14 +46,15 @@
 // and for how much longer.
 func (d *Dispatcher) IsBlocked(fp request.Fingerprint) (time.Duration, bool) { return d.isBlocked(fp) }
 
-// IsSuspect reports whether a target died recently while it ran the request.
+// IsSuspect reports whether a target died recently while it ran the request, or
+// the request is blocked.
 func (d *Dispatcher) IsSuspect(fp request.Fingerprint) bool { return d.isSuspect(fp) }
 
-// RecordDeath records that a target died while it ran the request. It reports whether
-// the request is now blocked.
+// RecordDeath records that a target died while it ran the request. It reports
+// whether the request is now blocked.
 func (d *Dispatcher) RecordDeath(fp request.Fingerprint, death crash.Death) bool {
 	return d.recordDeath(fp, death)
 }
 
-// ClearSuspect removes a suspect's record, because it ran to its end.
+// ClearSuspect removes a suspect's record, because the request has completed.
 func (d *Dispatcher) ClearSuspect(fp request.Fingerprint) { d.clearSuspect(fp) }
--- a/internal/serving/dispatch/dispatch.go
+++ b/internal/serving/dispatch/dispatch.go
@@ -42,14 +42,14 @@
 	Entries func() int
 	// CellOf returns the cell whose lease holder decides on the model.
 	CellOf func(model string) int
-	// Prerequisite returns the model that must be loaded before this one, such as the
-	// base model of an adapter. It may be nil.
+	// Prerequisite returns the model that must be loaded before this one, such
+	// as the base model of an adapter. It may be nil.
 	Prerequisite func(model string) string
 	// OnQueued is called when a request is queued because no replica of its
-	// model accepts it.
+	// model accepts it or other requests are queued before it.
 	OnQueued func(model string)
-	// OnReplicaIdle is called when the last of this entry's requests on a replica has
-	// ended, since the replica may then be evicted. It may be nil.
+	// OnReplicaIdle is called when Release ends the last of this entry's requests
+	// on a replica, since the replica may then be evicted. It may be nil.
 	OnReplicaIdle func()
 	// OnNotice is called with events that all entries must receive at once.
 	OnNotice func(Notice)
@@ -127,7 +127,8 @@
 }
 
 // Do writes the answer to the request into sink or returns a *request.Refusal.
-// It returns the context's error if the client has disconnected.
+// If the client has disconnected or reads too slowly, it returns the context's
+// error, or one that wraps the sink's.
 func (d *Dispatcher) Do(ctx context.Context, req *request.Request, sink Sink) (Result, error) {
 	if wait, blocked := d.isBlocked(req.Fingerprint()); blocked {
 		return Result{}, request.Refuse(request.Poisoned, wait, "this request has crashed the targets that ran it")
@@ -156,13 +157,13 @@
 func (d *Dispatcher) Running() int { return int(d.running.Load()) }
 
 func (d *Dispatcher) latencyOf(model string) *modelLatency {
-	if p, ok := d.latencies.Load(model); ok {
-		return p.(*modelLatency) //nolint:forcetypeassert // The map holds nothing else.
+	if l, ok := d.latencies.Load(model); ok {
+		return l.(*modelLatency) //nolint:forcetypeassert // The map holds nothing else.
 	}
 
-	p, _ := d.latencies.LoadOrStore(model, &modelLatency{})
+	l, _ := d.latencies.LoadOrStore(model, &modelLatency{})
 
-	return p.(*modelLatency) //nolint:forcetypeassert // The map holds nothing else.
+	return l.(*modelLatency) //nolint:forcetypeassert // The map holds nothing else.
 }
 
 func (d *Dispatcher) useOf(t *router.Target, model string) *replicaUse {
@@ -293,7 +294,8 @@
 	return d.crashes.IsBlocked(fp, time.Now())
 }
 
-// isSuspect reports whether a target died recently while it ran the request.
+// isSuspect reports whether a target died recently while it ran the request, or
+// the request is blocked.
 func (d *Dispatcher) isSuspect(fp request.Fingerprint) bool {
 	if d.crashRecords.Load() == 0 {
 		return false
@@ -343,10 +345,9 @@
 // multiply the load when many targets fail.
 type retryBudget struct{ level atomic.Int64 }
 
-// The budget is counted in tenths of a retry.
+// The retry budget is counted in tenths of a retry: ten requests earn one retry.
 const (
-	// The retry budget is counted in tenths of a retry: ten requests earn one
-	// retry.
+	// maxRetryBudget is 100 retries.
 	maxRetryBudget = 1000
 	requestCredit  = 1
 	retryCost      = 10
--- a/internal/serving/dispatch/dispatch_test.go
+++ b/internal/serving/dispatch/dispatch_test.go
@@ -30,11 +30,11 @@
 	engines []*engine.Engine
 	log     timeline.Log
 
-	mu       sync.Mutex
-	number   uint64
-	demanded int
-	noticed  []Notice
-	refresh  int
+	mu          sync.Mutex
+	number      uint64
+	queuedCalls int
+	notices     []Notice
+	refreshes   int
 }
 
 const model = "m"
@@ -43,9 +43,9 @@
 func newFixture(t *testing.T, engines int) *fixture {
 	t.Helper()
 
-	b := &fixture{}
+	fx := &fixture{}
 
-	// Goroutines that end by themselves get time to do so.
+	// Background goroutines need time to end before the test does.
 	t.Cleanup(func() { time.Sleep(time.Minute) })
 
 	for i := range engines {
@@ -53,46 +53,46 @@
 			ID: instance.ID(fmt.Sprint("t", i)), Memory: 100, Slots: 4, Restart: time.Second,
 			FirstToken: 50 * time.Millisecond, PerToken: 10 * time.Millisecond,
 		})
-		b.engines = append(b.engines, e)
-		b.load(t, e)
+		fx.engines = append(fx.engines, e)
+		fx.load(t, e)
 	}
 
-	b.Dispatcher = New(Config{
-		Table:  &b.table,
-		Engine: func(rt *router.Target) target.Engine { return b.engineOf(rt.ID) },
+	fx.Dispatcher = New(Config{
+		Table:  &fx.table,
+		Engine: func(rt *router.Target) target.Engine { return fx.engineOf(rt.ID) },
 		Probe: func(ctx context.Context, rt *router.Target) (target.Inventory, error) {
-			return b.engineOf(rt.ID).Inventory(ctx)
+			return fx.engineOf(rt.ID).Inventory(ctx)
 		},
 		Refresh: func(*router.Target) {
-			b.mu.Lock()
-			defer b.mu.Unlock()
+			fx.mu.Lock()
+			defer fx.mu.Unlock()
 
-			b.refresh++
+			fx.refreshes++
 		},
 		Entries: func() int { return 1 },
 		CellOf:  func(string) int { return 0 },
 		OnQueued: func(string) {
-			b.mu.Lock()
-			defer b.mu.Unlock()
+			fx.mu.Lock()
+			defer fx.mu.Unlock()
 
-			b.demanded++
+			fx.queuedCalls++
 		},
 		OnNotice: func(n Notice) {
-			b.mu.Lock()
-			defer b.mu.Unlock()
+			fx.mu.Lock()
+			defer fx.mu.Unlock()
 
-			b.noticed = append(b.noticed, n)
+			fx.notices = append(fx.notices, n)
 		},
-		Log:        &b.log,
+		Log:        &fx.log,
 		MaxWaiting: 64,
 	})
-	b.publish()
+	fx.publish()
 
-	return b
+	return fx
 }
 
-func (b *fixture) engineOf(id instance.ID) *engine.Engine {
-	for _, e := range b.engines {
+func (fx *fixture) engineOf(id instance.ID) *engine.Engine {
+	for _, e := range fx.engines {
 		if e.ID() == id {
 			return e
 		}
@@ -101,7 +101,7 @@
 	return nil
 }
 
-func (b *fixture) load(t *testing.T, e *engine.Engine) {
+func (fx *fixture) load(t *testing.T, e *engine.Engine) {
 	t.Helper()
 
 	inv, _ := e.Inventory(t.Context())
@@ -112,11 +112,11 @@
 
 // publish applies a snapshot of the engines' present state to the routing
 // table.
-func (b *fixture) publish(waits ...router.Wait) {
-	b.number++
-	s := &router.Snapshot{Token: 1, Number: b.number, Waits: waits}
+func (fx *fixture) publish(waits ...router.Wait) {
+	fx.number++
+	s := &router.Snapshot{Token: 1, Number: fx.number, Waits: waits}
 
-	for i, e := range b.engines {
+	for i, e := range fx.engines {
 		inv, err := e.Inventory(context.Background())
 		s.Targets = append(s.Targets, router.TargetInfo{
 			ID: e.ID(), Address: netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(i)), Slots: 4, Speed: 1,
@@ -128,10 +128,10 @@
 		}
 	}
 
-	b.table.Apply(s, time.Now())
+	fx.table.Apply(s, time.Now())
 
-	if b.Dispatcher != nil {
-		b.WakeQueues()
+	if fx.Dispatcher != nil {
+		fx.WakeQueues()
 	}
 }
 
@@ -157,10 +157,10 @@
 }
 
 // do sends a request and returns its answer, its refusal and its error.
-func (b *fixture) do(ctx context.Context, req *request.Request) (string, *request.Refusal, error) {
+func (fx *fixture) do(ctx context.Context, req *request.Request) (string, *request.Refusal, error) {
 	var out text
 
-	_, err := b.Do(ctx, req, &out)
+	_, err := fx.Do(ctx, req, &out)
 	refusal, _ := asRefusal(err)
 
 	return out.String(), refusal, err
@@ -170,8 +170,8 @@
 // the complete answer to its own request, with each token once.
 var faults = map[string]struct {
 	engines int
-	before  func(b *fixture)
-	during  func(b *fixture)
+	before  func(fx *fixture)
+	during  func(fx *fixture)
 	within  time.Duration
 }{
 	"none": {engines: 2, within: time.Second},
@@ -179,15 +179,15 @@
 	// dropped the connection. The client would see an answer that stops. The
 	// target answers on a new connection, so the stream is resumed there.
 	"stream goes silent": {
-		engines: 1, during: func(b *fixture) { b.engines[0].Silence() }, within: 2 * time.Second,
+		engines: 1, during: func(fx *fixture) { fx.engines[0].Silence() }, within: 2 * time.Second,
 	},
 	// The stream ends cleanly in the middle, which looks like a short answer.
 	"stream is cut short": {
-		engines: 1, before: func(b *fixture) { b.engines[0].SetFaults(engine.Faults{Truncate: true}) }, within: time.Second,
+		engines: 1, before: func(fx *fixture) { fx.engines[0].SetFaults(engine.Faults{Truncate: true}) }, within: time.Second,
 	},
 	// The target's process dies, and another target has the model.
-	"target dies": {engines: 2, during: func(b *fixture) {
-		for _, e := range b.engines {
+	"target dies": {engines: 2, during: func(fx *fixture) {
+		for _, e := range fx.engines {
 			if _, running := e.Use(); running > 0 {
 				e.Crash()
 
@@ -196,57 +196,57 @@
 		}
 	}, within: time.Second},
 	// The only target dies and restarts, and its model is loaded again.
-	"only target dies and comes back": {engines: 1, during: func(b *fixture) {
-		b.engines[0].Crash()
+	"only target dies and comes back": {engines: 1, during: func(fx *fixture) {
+		fx.engines[0].Crash()
 		time.AfterFunc(1200*time.Millisecond, func() {
-			inv, _ := b.engines[0].Inventory(context.Background())
-			_, _ = b.engines[0].Submit(context.Background(), target.Order{
+			inv, _ := fx.engines[0].Inventory(context.Background())
+			_, _ = fx.engines[0].Submit(context.Background(), target.Order{
 				ID: "again/" + inv.Incarnation, Action: target.Load{Model: model},
 			})
 
-			time.AfterFunc(50*time.Millisecond, func() { b.publish() })
+			time.AfterFunc(50*time.Millisecond, func() { fx.publish() })
 		})
 	}, within: 3 * time.Second},
 	// The routing table is stale: the model has just been unloaded.
-	"model was unloaded": {engines: 2, before: func(b *fixture) {
-		_, _ = b.engines[0].Submit(context.Background(), target.Order{ID: "u", Action: target.Unload{Model: model}})
+	"model was unloaded": {engines: 2, before: func(fx *fixture) {
+		_, _ = fx.engines[0].Submit(context.Background(), target.Order{ID: "u", Action: target.Unload{Model: model}})
 	}, within: time.Second},
 	// During an answer, its target is marked as leaving, and it stops soon
 	// after. The answer is resumed on another target with the engine's state.
-	"target leaves mid-answer": {engines: 2, during: func(b *fixture) {
-		for _, e := range b.engines {
+	"target leaves mid-answer": {engines: 2, during: func(fx *fixture) {
+		for _, e := range fx.engines {
 			if _, running := e.Use(); running > 0 {
-				b.table.Target(e.ID()).MarkLeaving()
+				fx.table.Target(e.ID()).MarkLeaving()
 				time.AfterFunc(50*time.Millisecond, e.Stop)
 			}
 		}
 	}, within: time.Second},
 	// The target refuses the request because it is leaving.
-	"target is leaving": {engines: 2, before: func(b *fixture) { b.engines[0].Leave() }, within: time.Second},
+	"target is leaving": {engines: 2, before: func(fx *fixture) { fx.engines[0].Leave() }, within: time.Second},
 }
 
 func TestFaults(t *testing.T) {
 	for name, f := range faults {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newFixture(t, f.engines)
+				fx := newFixture(t, f.engines)
 
-				// Undisturbed streams give the samples for the bounds of silence.
+				// Answers without faults provide the samples for the silence bounds.
 				for range 3 {
-					_, _, err := b.do(t.Context(), newRequest("calm", time.Minute))
+					_, _, err := fx.do(t.Context(), newRequest("calm", time.Minute))
 					assert.NilError(t, err)
 				}
 
 				if f.before != nil {
-					f.before(b)
+					f.before(fx)
 				}
 
 				if f.during != nil {
-					time.AfterFunc(120*time.Millisecond, func() { f.during(b) })
+					time.AfterFunc(120*time.Millisecond, func() { f.during(fx) })
 				}
 
 				began := time.Now()
-				got, _, err := b.do(t.Context(), newRequest(name, time.Minute))
+				got, _, err := fx.do(t.Context(), newRequest(name, time.Minute))
 				assert.NilError(t, err)
 				assert.Equal(t, got, engine.Answer(model, name, 20))
 				assert.Assert(t, time.Since(began) < f.within, "took %s", time.Since(began))
@@ -259,7 +259,7 @@
 // client must get its own answer, complete.
 func TestSwappedAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(t, 1)
+		fx := newFixture(t, 1)
 
 		var wg sync.WaitGroup
 
@@ -267,24 +267,24 @@
 			prompt := fmt.Sprint("prompt ", i)
 
 			wg.Go(func() {
-				got, _, err := b.do(t.Context(), newRequest(prompt, time.Minute))
+				got, _, err := fx.do(t.Context(), newRequest(prompt, time.Minute))
 				assert.Check(t, err)
 				assert.Check(t, got == engine.Answer(model, prompt, 20), "%s got %q", prompt, got)
 			})
 			time.Sleep(70 * time.Millisecond)
-			b.engines[0].SetFaults(engine.Faults{SwapAnswers: i == 0})
+			fx.engines[0].SetFaults(engine.Faults{SwapAnswers: i == 0})
 		}
 
 		wg.Wait()
 	})
 }
 
-// TestPoisonAndBystanders sends a poison request among harmless ones. It must
+// TestPoisonAmongHarmless sends a poison request among harmless ones. It must
 // be blocked after the second target that it crashes, and refused at once when
 // its client sends it again. The other requests must be answered.
-func TestPoisonAndBystanders(t *testing.T) {
+func TestPoisonAmongHarmless(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(t, 4)
+		fx := newFixture(t, 4)
 
 		var wg sync.WaitGroup
 
@@ -292,7 +292,7 @@
 			prompt := fmt.Sprint("innocent ", i)
 
 			wg.Go(func() {
-				got, _, err := b.do(t.Context(), newRequest(prompt, time.Minute))
+				got, _, err := fx.do(t.Context(), newRequest(prompt, time.Minute))
 				assert.Check(t, err)
 				assert.Check(t, got == engine.Answer(model, prompt, 20))
 			})
@@ -300,19 +300,19 @@
 
 		time.Sleep(80 * time.Millisecond)
 
-		_, refusal, _ := b.do(t.Context(), newRequest(engine.Poison, time.Minute))
+		_, refusal, _ := fx.do(t.Context(), newRequest(engine.Poison, time.Minute))
 		assert.Assert(t, refusal != nil)
 		assert.Equal(t, refusal.Code, request.Poisoned)
 		assert.Equal(t, refusal.Run, request.MayHaveRun)
 
 		crashes := 0
-		for _, e := range b.engines {
+		for _, e := range fx.engines {
 			crashes += e.PoisonCrashes()
 		}
 
 		assert.Equal(t, crashes, 2)
 
-		_, refusal, _ = b.do(t.Context(), newRequest(engine.Poison, time.Minute))
+		_, refusal, _ = fx.do(t.Context(), newRequest(engine.Poison, time.Minute))
 		assert.Equal(t, refusal.Code, request.Poisoned)
 		assert.Equal(t, refusal.Run, request.NotRun)
 		assert.Assert(t, refusal.RetryAfter > 0)
@@ -320,7 +320,7 @@
 
 		poisoned := 0
 
-		for _, n := range b.noticed {
+		for _, n := range fx.notices {
 			if n.Poisoned != 0 {
 				poisoned++
 			}
@@ -330,20 +330,20 @@
 	})
 }
 
-// TestCallerLeaves checks that an engine's slot is released at once when the
+// TestClientDisconnects checks that an engine's slot is released at once when the
 // client disconnects.
-func TestCallerLeaves(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(t, 1)
+		fx := newFixture(t, 1)
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(100*time.Millisecond, cancel)
 
-		_, refusal, err := b.do(ctx, newRequest("p", time.Minute))
+		_, refusal, err := fx.do(ctx, newRequest("p", time.Minute))
 		assert.Assert(t, refusal == nil)
 		assert.ErrorIs(t, err, context.Canceled)
 		synctest.Wait()
 
-		_, running := b.engines[0].Use()
+		_, running := fx.engines[0].Use()
 		assert.Equal(t, running, 0)
 	})
 }
@@ -361,13 +361,13 @@
 
 func TestSlowReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(t, 1)
+		fx := newFixture(t, 1)
 
-		_, err := b.Do(t.Context(), newRequest("p", time.Minute), &slowSink{after: 3})
+		_, err := fx.Do(t.Context(), newRequest("p", time.Minute), &slowSink{after: 3})
 		assert.ErrorContains(t, err, "write timed out")
 		synctest.Wait()
 
-		_, running := b.engines[0].Use()
+		_, running := fx.engines[0].Use()
 		assert.Equal(t, running, 0)
 	})
 }
@@ -376,16 +376,16 @@
 // lists no longer allow them.
 func TestPlanRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(t, 0)
+		fx := newFixture(t, 0)
 
 		time.AfterFunc(time.Second, func() {
-			b.RefuseWaiting(func(req *request.Request) *request.Refusal {
+			fx.RefuseWaiting(func(req *request.Request) *request.Refusal {
 				return request.Refuse(request.PlanRemoved, 0, req.Plan)
 			})
 		})
 
 		began := time.Now()
-		_, refusal, _ := b.do(t.Context(), newRequest("p", time.Minute))
+		_, refusal, _ := fx.do(t.Context(), newRequest("p", time.Minute))
 		assert.Equal(t, refusal.Code, request.PlanRemoved)
 		assert.Equal(t, refusal.Run, request.NotRun)
 		assert.Equal(t, time.Since(began), time.Second)
--- a/internal/serving/dispatch/failure.go
+++ b/internal/serving/dispatch/failure.go
@@ -24,9 +24,9 @@
 // reserve reserves the target for a suspect, so that no other suspect of any
 // entry runs there at the same time.
 //
-// If two suspects shared a target that dies, two targets would have died under
-// each of them, and the harmless one would be blocked as well. Run apart, the
-// harmless one completes on its second target.
+// If two suspects ran on one target and it died, that would be the second death
+// for both, and the harmless one would be blocked as well. On different targets,
+// the harmless one completes on its second target.
 func (f *forwarder) reserve(ctx context.Context, t *router.Target) bool {
 	if !f.suspect || f.cfg.Reserve == nil {
 		return true
@@ -118,12 +118,12 @@
 
 	alive := f.probe(ctx, t)
 
-	var silent *stallError
+	var stalled *stallError
 
 	switch {
 	case !alive:
 		return f.targetDied(t)
-	case errors.As(err, &silent):
+	case errors.As(err, &stalled):
 		// The target is alive, so only the connection stalled. The engine still
 		// has the stream's state: resume there on a new connection.
 		f.cfg.Refresh(t)
--- a/internal/serving/dispatch/forwarder.go
+++ b/internal/serving/dispatch/forwarder.go
@@ -29,7 +29,8 @@
 	firstToken time.Duration
 	// attemptFirstToken is the time to first token of the last attempt.
 	attemptFirstToken time.Duration
-	// suspect says that a target died while it ran the request.
+	// suspect says that the request is suspected of crashing targets: one died
+	// while it ran the request, or the request is blocked.
 	suspect bool
 	// last is the target of the last attempt. retrySame selects it for the next
 	// attempt as well.
--- a/internal/serving/dispatch/modelqueue.go
+++ b/internal/serving/dispatch/modelqueue.go
@@ -164,7 +164,8 @@
 	return t
 }
 
-// defaultRetryAfter is the shortest time after which a client is told to retry.
+// defaultRetryAfter is the time after which a client is told to retry if no
+// longer time is predicted.
 const defaultRetryAfter = time.Second
 
 func (m *modelQueue) push(it *queue.Item[*waiter]) error {
@@ -172,7 +173,7 @@
 	defer m.mu.Unlock()
 
 	if m.tooLate(it) {
-		return request.Refuse(request.DeadlineUnreachable, m.drainTime(), "the queue is too long to meet its deadline")
+		return request.Refuse(request.DeadlineUnreachable, m.drainTime(), "too many requests wait to meet its deadline")
 	}
 
 	displaced, err := m.q.Push(it)
@@ -198,23 +199,27 @@
 // wait.
 const minQueueForRate = 8
 
-// tooLate reports whether the request would start after its deadline if queued
-// requests continue to start at the recent rate.
+// tooLate reports whether the request would start too late to be answered before
+// its deadline if queued requests continue to start at the recent rate. It
+// returns false while the queue is shorter than minQueueForRate or no target
+// holds the model.
 func (m *modelQueue) tooLate(it *queue.Item[*waiter]) bool {
 	n := m.q.Len()
 	if n < minQueueForRate || len(m.d.cfg.Table.Targets(m.model)) == 0 {
 		return false
 	}
 
-	// A customer with few queued requests is served before the rest of longer
-	// queues. Of each customer only as many requests are therefore counted as
-	// this one has queued, including the new request.
+	// Customers take turns, so a customer with few queued requests is served
+	// before the rest of longer queues. For each customer, at most as many
+	// requests are therefore counted as the new request's customer has queued,
+	// including the new request.
 	ahead := min(n, m.q.Customers()*(m.q.Waiting(it.Customer)+1))
 
 	return time.Now().Add(time.Duration(ahead) * m.startRate.gap).After(it.Deadline)
 }
 
-// drainTime predicts how long it takes to start all queued requests.
+// drainTime predicts how long it takes to start all queued requests. It returns
+// at least defaultRetryAfter.
 func (m *modelQueue) drainTime() time.Duration {
 	return max(defaultRetryAfter, time.Duration(m.q.Len())*m.startRate.gap)
 }
@@ -228,8 +233,8 @@
 	return m.q.Remove(it)
 }
 
-// WakeQueues makes every queue look for targets immediately, after a change of the
-// routing table.
+// WakeQueues makes every queue look for targets immediately, after a change of
+// the routing table.
 func (d *Dispatcher) WakeQueues() {
 	d.queues.Range(func(_, value any) bool {
 		value.(*modelQueue).wake() //nolint:forcetypeassert // The map holds nothing else.
@@ -323,8 +328,8 @@
 }
 
 // refuseDenied refuses queued requests if the cell's lease holder has published
-// that no replica can be loaded. Only a snapshot that arrived after a request
-// refuses it.
+// that no replica can be loaded. A request is refused only if the last snapshot
+// arrived after the request was queued.
 func (m *modelQueue) refuseDenied() {
 	wait, ok := m.d.cfg.Table.Wait(m.model)
 	if !ok || wait.Reason == "" {
--- a/internal/serving/dispatch/overload_test.go
+++ b/internal/serving/dispatch/overload_test.go
@@ -39,20 +39,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newFixture(t, 0)
+				fx := newFixture(t, 0)
 
 				if tc.wait != nil {
-					time.AfterFunc(100*time.Millisecond, func() { b.publish(*tc.wait) })
+					time.AfterFunc(100*time.Millisecond, func() { fx.publish(*tc.wait) })
 				}
 
 				began := time.Now()
-				_, refusal, err := b.do(t.Context(), newRequest("p", tc.timeout))
+				_, refusal, err := fx.do(t.Context(), newRequest("p", tc.timeout))
 				assert.Assert(t, refusal != nil, err)
 				assert.Equal(t, refusal.Code, tc.code)
 				assert.Equal(t, refusal.Run, request.NotRun)
 				assert.Assert(t, refusal.RetryAfter >= tc.retry, "retry after %s", refusal.RetryAfter)
 				assert.Assert(t, time.Since(began) <= tc.within, "took %s", time.Since(began))
-				assert.Assert(t, b.demanded > 0)
+				assert.Assert(t, fx.queuedCalls > 0)
 			})
 		})
 	}
@@ -65,13 +65,13 @@
 // target still holds the model and no Wait is published for the adapter itself.
 func TestWaitOfPrerequisite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(t, 1)
-		b.cfg.Prerequisite = func(string) string { return "base" }
-		b.table.Targets(model)[0].MarkLeaving()
-		b.publish(router.Wait{Model: "base", Ready: 30 * time.Second})
+		fx := newFixture(t, 1)
+		fx.cfg.Prerequisite = func(string) string { return "base" }
+		fx.table.Targets(model)[0].MarkLeaving()
+		fx.publish(router.Wait{Model: "base", Ready: 30 * time.Second})
 
 		began := time.Now()
-		_, refusal, err := b.do(t.Context(), newRequest("p", 10*time.Second))
+		_, refusal, err := fx.do(t.Context(), newRequest("p", 10*time.Second))
 		assert.Assert(t, refusal != nil, err)
 		assert.Equal(t, refusal.Code, request.TooCold)
 		assert.Equal(t, refusal.Run, request.NotRun)
@@ -80,16 +80,16 @@
 	})
 }
 
-// TestStaleDenial guards against a new request being refused because the lease
-// holder denied the model to others just before it arrived.
+// TestStaleDenial guards against a request being refused because of a snapshot
+// that arrived before it and says that no replica of its model can be loaded.
 func TestStaleDenial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(t, 0)
-		b.publish(router.Wait{Model: model, Reason: replica.ReasonBusy})
+		fx := newFixture(t, 0)
+		fx.publish(router.Wait{Model: model, Reason: replica.ReasonBusy})
 		time.Sleep(100 * time.Millisecond)
 
 		began := time.Now()
-		_, refusal, _ := b.do(t.Context(), newRequest("p", 3*time.Second))
+		_, refusal, _ := fx.do(t.Context(), newRequest("p", 3*time.Second))
 		assert.Equal(t, refusal.Code, request.TooCold)
 		assert.Assert(t, time.Since(began) > 2*time.Second, "refused after %s", time.Since(began))
 	})
@@ -100,32 +100,32 @@
 // the lease holder.
 func TestColdStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(t, 1)
-		e := b.engines[0]
-		b.engines = nil
-		b.publish()
+		fx := newFixture(t, 1)
+		e := fx.engines[0]
+		fx.engines = nil
+		fx.publish()
 
 		var wg sync.WaitGroup
 		for i := range 3 {
 			wg.Go(func() {
-				_, _, err := b.do(t.Context(), newRequest(fmt.Sprint(i), time.Duration(20+i)*time.Second))
+				_, _, err := fx.do(t.Context(), newRequest(fmt.Sprint(i), time.Duration(20+i)*time.Second))
 				assert.Check(t, err)
 			})
 		}
 
 		synctest.Wait()
 
-		waiting, _ := b.Report(0)
+		waiting, _ := fx.Report(0)
 		assert.Equal(t, len(waiting), 1)
 		assert.Equal(t, waiting[0].Waiting, 3)
 		assert.Assert(t, time.Until(waiting[0].Deadline) <= 20*time.Second)
-		assert.Equal(t, b.QueuedByPlan()["p"], 3)
+		assert.Equal(t, fx.QueuedByPlan()["p"], 3)
 
-		b.engines = []*engine.Engine{e}
-		b.publish()
+		fx.engines = []*engine.Engine{e}
+		fx.publish()
 		wg.Wait()
 
-		_, uses := b.Report(0)
+		_, uses := fx.Report(0)
 		assert.Equal(t, uses[0].Served, 3)
 	})
 }
@@ -139,19 +139,19 @@
 		synctest.Test(t, func(t *testing.T) {
 			const seconds = 30
 
-			b := newFixture(t, 2)
+			fx := newFixture(t, 2)
 
 			// One answer takes about 0.35 s on a full engine, so 8 slots give
 			// this many answers a second.
 			const capacity = 8 / (0.05 + 20*0.010*1.4)
 
 			var (
-				wg       sync.WaitGroup
-				mu       sync.Mutex
-				answered = make(map[string]int)
-				refused  int
-				untrue   int
-				sent     = make(map[string]int)
+				wg            sync.WaitGroup
+				mu            sync.Mutex
+				answered      = make(map[string]int)
+				refused       int
+				cutAtDeadline int
+				sent          = make(map[string]int)
 			)
 
 			gap := time.Duration(float64(time.Second) / (capacity * factor))
@@ -167,7 +167,7 @@
 				sent[req.Customer]++
 
 				wg.Go(func() {
-					_, refusal, err := b.do(t.Context(), req)
+					_, refusal, err := fx.do(t.Context(), req)
 
 					mu.Lock()
 					defer mu.Unlock()
@@ -179,7 +179,7 @@
 						refused++
 
 						if refusal.Run != request.NotRun && refusal.Code == request.DeadlinePassed {
-							untrue++
+							cutAtDeadline++
 						}
 					}
 				})
@@ -191,7 +191,7 @@
 			total := answered["flood"] + answered["few"]
 			goodput := float64(total) / (seconds * capacity)
 			t.Logf("load %.0fx: goodput %.2f of capacity, %d answered, %d refused, %d cut at the deadline, few %d of %d",
-				factor, goodput, total, refused, untrue, answered["few"], sent["few"])
+				factor, goodput, total, refused, cutAtDeadline, answered["few"], sent["few"])
 			assert.Assert(t, goodput >= 0.9, "goodput %.2f", goodput)
 			assert.Assert(t, answered["few"]*10 >= sent["few"]*9, "few %d of %d", answered["few"], sent["few"])
 			assert.Equal(t, total+refused, sent["flood"]+sent["few"])
@@ -199,26 +199,26 @@
 	}
 }
 
-// TestIdle checks that Idle is called when the last request on a replica ends,
-// because other models may wait for its memory, and not for each request of a
-// busy model.
-func TestIdle(t *testing.T) {
+// TestOnReplicaIdle checks that OnReplicaIdle is called when the last request on
+// a replica ends, because other models may wait for its memory, and not for each
+// request of a busy model.
+func TestOnReplicaIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(t, 1)
+		fx := newFixture(t, 1)
 		idle := 0
-		b.cfg.OnReplicaIdle = func() { idle++ }
+		fx.cfg.OnReplicaIdle = func() { idle++ }
 
 		req := newRequest("p", 10*time.Second)
 
-		first, _, err := b.Acquire(t.Context(), req, router.Query{})
+		first, _, err := fx.Acquire(t.Context(), req, router.Query{})
 		assert.NilError(t, err)
 
-		second, _, err := b.Acquire(t.Context(), req, router.Query{})
+		second, _, err := fx.Acquire(t.Context(), req, router.Query{})
 		assert.NilError(t, err)
 
-		b.Release(first, req, false)
+		fx.Release(first, req, false)
 		assert.Equal(t, idle, 0, "one still runs")
-		b.Release(second, req, false)
+		fx.Release(second, req, false)
 		assert.Equal(t, idle, 1)
 	})
 }
--- a/internal/serving/dispatch/watch.go
+++ b/internal/serving/dispatch/watch.go
@@ -10,7 +10,7 @@
 // model.
 type stallError struct{ err error }
 
-func (e *stallError) Error() string { return "stream stalled: " + e.err.Error() }
+func (e *stallError) Error() string { return "stream went silent: " + e.err.Error() }
 
 func (e *stallError) Unwrap() error { return e.err }
 
--- a/internal/serving/queue/queue.go
+++ b/internal/serving/queue/queue.go
@@ -15,7 +15,8 @@
 // Item is one queued request.
 type Item[T any] struct {
 	Customer string
-	// Weight is the customer's relative share, at least 1.
+	// Weight is the relative share that the customer is given for this request,
+	// at least 1.
 	Weight   int
 	Deadline time.Time
 	Value    T
@@ -97,11 +98,11 @@
 	return 0
 }
 
-// Push enqueues it. If the queue is full, a request of a customer with fewer
-// queued requests displaces the one with the latest deadline of the customer
-// with the most; Push returns the displaced request. Otherwise it returns a
-// *FullError. A customer that floods the queue can therefore not keep others
-// out.
+// Push enqueues it. If the queue is full, a request of the customer with the most
+// queued requests is displaced: the one with the latest deadline, which Push
+// returns. This happens only if that customer has more queued requests than the
+// new request's customer, counting the new request; otherwise Push returns a
+// *FullError. A customer that floods the queue can therefore not keep others out.
 func (q *Queue[T]) Push(it *Item[T]) (*Item[T], error) {
 	var displaced *Item[T]
 
--- a/internal/serving/queue/queue_test.go
+++ b/internal/serving/queue/queue_test.go
@@ -33,9 +33,9 @@
 	assert.Assert(t, q.Pop() == nil)
 }
 
-// TestNoCustomerStarves queues a flood of one customer while others send one
-// request after another. Each must be served in turn, with shares according to
-// their weights.
+// TestNoCustomerStarves queues 1000 requests of one customer while two others send
+// one request after another. The customers must be served in turn, with shares
+// according to their weights.
 func TestNoCustomerStarves(t *testing.T) {
 	var q Queue[int]
 	for i := range 1000 {
@@ -73,7 +73,8 @@
 
 	assert.Assert(t, errors.As(err, &full))
 
-	// Another customer displaces the request of the flood with the latest deadline.
+	// A request of another customer displaces the flood's request with the latest
+	// deadline.
 	out, err := q.Push(item("new", 1, 9))
 	assert.NilError(t, err)
 	assert.Equal(t, out.Value, 3)
--- a/internal/serving/request/trail.go
+++ b/internal/serving/request/trail.go
@@ -20,42 +20,42 @@
 	Completed
 )
 
-// AttemptLog records the outcome of each attempt of one request. It alone determines
-// whether a refusal states that the request ran. The zero value has no
-// attempts.
+// AttemptLog records the outcome of each attempt of one request. Once a request
+// may have been sent, only its AttemptLog determines what a refusal states about
+// whether it ran. The zero value has no attempts.
 //
-// It prevents a refusal that states "not run" for a request that ran: the
-// client would send it again, and a stamp would be booked twice. Each attempt
-// therefore counts as in doubt before its first byte is sent, until its outcome
-// is proved.
+// It prevents a refusal that states "not run" for a request that ran: the client
+// would send it again, it would run twice, and a booking, for example, would be
+// made twice. Each attempt therefore counts as in doubt before its first byte is
+// sent, until its outcome is proved.
 type AttemptLog struct {
-	fates []Outcome
+	outcomes []Outcome
 }
 
 // Begin records that an attempt begins and returns its number.
-func (t *AttemptLog) Begin() int {
-	t.fates = append(t.fates, Unanswered)
+func (l *AttemptLog) Begin() int {
+	l.outcomes = append(l.outcomes, Unanswered)
 
-	return len(t.fates) - 1
+	return len(l.outcomes) - 1
 }
 
 // Record records the outcome of attempt n. An attempt whose answer has begun
 // cannot become one that did not run.
-func (t *AttemptLog) Record(n int, f Outcome) {
-	if t.fates[n] < Begun || f > t.fates[n] {
-		t.fates[n] = f
+func (l *AttemptLog) Record(n int, o Outcome) {
+	if l.outcomes[n] < Begun || o > l.outcomes[n] {
+		l.outcomes[n] = o
 	}
 }
 
 // Count returns the number of attempts.
-func (t *AttemptLog) Count() int { return len(t.fates) }
+func (l *AttemptLog) Count() int { return len(l.outcomes) }
 
 // Run returns what a refusal may state about whether the request ran.
-func (t *AttemptLog) Run() Run {
+func (l *AttemptLog) Run() Run {
 	run := NotRun
 
-	for _, f := range t.fates {
-		switch f {
+	for _, o := range l.outcomes {
+		switch o {
 		case NotReached, ProvedNotRun:
 		case Unanswered:
 			if run == NotRun {
@@ -70,6 +70,6 @@
 }
 
 // Refuse returns a refusal that states only what the attempts prove.
-func (t *AttemptLog) Refuse(code Code, retryAfter time.Duration, message string) *Refusal {
-	return &Refusal{Code: code, Run: t.Run(), RetryAfter: retryAfter, Message: message}
+func (l *AttemptLog) Refuse(code Code, retryAfter time.Duration, message string) *Refusal {
+	return &Refusal{Code: code, Run: l.Run(), RetryAfter: retryAfter, Message: message}
 }
--- a/internal/serving/request/trail_test.go
+++ b/internal/serving/request/trail_test.go
@@ -7,12 +7,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestVerdict lists every point at which a request can fail, and what a refusal
+// TestRun lists every point at which a request can fail, and what a refusal
 // may then state.
-func TestVerdict(t *testing.T) {
+func TestRun(t *testing.T) {
 	for name, tc := range map[string]struct {
-		fates []Outcome
-		want  Run
+		outcomes []Outcome
+		want     Run
 	}{
 		"never sent":                                 {nil, NotRun},
 		"no connection":                              {[]Outcome{NotReached}, NotRun},
@@ -26,13 +26,13 @@
 		"in doubt, then part of an answer":           {[]Outcome{Unanswered, Begun}, Ran},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var trail AttemptLog
-			for _, f := range tc.fates {
-				trail.Record(trail.Begin(), f)
+			var log AttemptLog
+			for _, o := range tc.outcomes {
+				log.Record(log.Begin(), o)
 			}
 
-			assert.Equal(t, trail.Run(), tc.want)
-			assert.Equal(t, trail.Refuse(TargetFailed, 0, "").Run, tc.want)
+			assert.Equal(t, log.Run(), tc.want)
+			assert.Equal(t, log.Refuse(TargetFailed, 0, "").Run, tc.want)
 		})
 	}
 }
@@ -42,22 +42,22 @@
 // answer began must never become one that did not run.
 func TestNotRunIsProved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var trail AttemptLog
+		var log AttemptLog
 
 		open, begun := 0, false
 
 		for range rapid.IntRange(0, 6).Draw(t, "attempts") {
-			n := trail.Begin()
+			n := log.Begin()
 			proved, began := false, false
 
-			for _, f := range rapid.SliceOfN(rapid.IntRange(int(NotReached), int(Completed)), 0, 3).Draw(t, "recorded") {
-				trail.Record(n, Outcome(f))
+			for _, o := range rapid.SliceOfN(rapid.IntRange(int(NotReached), int(Completed)), 0, 3).Draw(t, "recorded") {
+				log.Record(n, Outcome(o))
 
-				if Outcome(f) >= Begun {
+				if Outcome(o) >= Begun {
 					began = true
 				}
 
-				proved = !began && Outcome(f) <= ProvedNotRun
+				proved = !began && Outcome(o) <= ProvedNotRun
 			}
 
 			begun = begun || began
@@ -76,8 +76,8 @@
 			want = MayHaveRun
 		}
 
-		if got := trail.Run(); got != want {
-			t.Fatalf("verdict %s, want %s", got, want)
+		if got := log.Run(); got != want {
+			t.Fatalf("Run is %s, want %s", got, want)
 		}
 	})
 }
--- a/internal/serving/route/route.go
+++ b/internal/serving/route/route.go
@@ -32,7 +32,8 @@
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time for which a request may wait.
+	// Timeout is the longest time from a request's arrival to its deadline. A
+	// request may set a shorter one.
 	Timeout time.Duration
 	// Goal is the time within which an answer counts as on time.
 	Goal time.Duration
@@ -43,7 +44,7 @@
 	Priority int
 	// Splits are never empty and their weights are positive.
 	Splits []Split
-	// Attempts is the number of targets that may run one request.
+	// Attempts is the maximum number of attempts that may have run one request.
 	Attempts int
 	// Resumable streams may be resumed on another target.
 	Resumable bool
@@ -58,8 +59,8 @@
 }
 
 // ClientTimeout returns how long a client waits for a stream's first event, or
-// between two events, before it disconnects: two seconds, four times the goal
-// or eight times the pause, whichever is longest, as the platform's clients do.
+// between two events, before it disconnects: the longest of two seconds, four
+// times Goal and eight times GapGoal. The platform's clients use this rule.
 func (r *Route) ClientTimeout() time.Duration {
 	const (
 		least = 2 * time.Second
@@ -127,8 +128,9 @@
 // occupies.
 const typicalRequestTokens = 1700
 
-// Concurrency returns how many typical requests a target with so many slots runs
-// concurrently: no more than fit into its memory for prompts and answers.
+// Concurrency returns how many typical requests a target with the given number of
+// slots runs concurrently: no more than fit into its memory for prompts and
+// answers.
 func (e *Engine) Concurrency(slots int) int {
 	if e.CacheTokens <= 0 {
 		return slots
--- a/internal/serving/router/choose.go
+++ b/internal/serving/router/choose.go
@@ -31,8 +31,8 @@
 	// defaultTimeToFirstToken, divided by the target's speed, is used until a
 	// time to first token of the target is known.
 	defaultTimeToFirstToken = 200 * time.Millisecond
-	// warmFactor multiplies the time to first token of a target that has the
-	// prefix cached.
+	// warmFactor multiplies the time to first token of the target that is
+	// assumed to have the prefix cached.
 	warmFactor = 0.5
 	// maxEjected is the share of a model's targets above which ejections are
 	// ignored: when more targets fail, the requests are the likelier cause.
@@ -48,7 +48,9 @@
 // Choose returns the candidate with the lowest estimated time to first token,
 // or nil if no target accepts the request now. The first candidate is the
 // rendezvous choice of the affinity, if one is set. The others are drawn at
-// random, so that entries with the same report spread their requests.
+// random, so that entries with the same report spread their requests. If no
+// sampled candidate accepts the request, Choose returns the first target found
+// that does.
 //
 // targets must come from a Table; Choose does not change it. Choose does not
 // allocate.
@@ -58,7 +60,7 @@
 		return nil
 	}
 
-	ignoreEjection := ejected(targets, q.Now) > maxEjected
+	ignoreEjection := ejectedShare(targets, q.Now) > maxEjected
 
 	var (
 		best      candidate
@@ -133,8 +135,8 @@
 }
 
 // better returns t as a candidate if it accepts the request and has a lower
-// estimate than best, and best otherwise. warm says that t has the prefix
-// cached.
+// estimate than best, and best otherwise. warm says that t is assumed to have
+// the prefix cached, because it is the rendezvous choice.
 func better(best candidate, t *Target, q *Query, ignoreEjection, warm bool) candidate {
 	if !t.accepts(q, ignoreEjection) {
 		return best
@@ -164,7 +166,7 @@
 	available availability = iota
 	leaving
 	dead
-	failing
+	ejected
 	full
 )
 
@@ -181,7 +183,7 @@
 	case info == nil || info.Down || t.isDead(info):
 		return dead
 	case !ignoreEjection && t.ejectedUntil.Load() > q.Now.UnixNano():
-		return failing
+		return ejected
 	case t.inFlight.Load() >= t.window(info, q):
 		return full
 	}
@@ -189,8 +191,8 @@
 	return available
 }
 
-// AnyUsable reports whether any of the targets accepts requests now or will when
-// requests in flight there have ended.
+// AnyUsable reports whether any of the targets is neither leaving nor recorded as
+// dead. Full, ejected and unreachable (Down) targets count as usable.
 func AnyUsable(targets []*Target) bool {
 	return slices.ContainsFunc(targets, func(t *Target) bool { return !t.Leaving() && !t.Dead() })
 }
@@ -211,7 +213,7 @@
 			s.Leaving++
 		case dead:
 			s.Dead++
-		case failing:
+		case ejected:
 			s.Ejected++
 		case full:
 			s.Full++
@@ -273,8 +275,9 @@
 
 // competitors returns how many entries, including this one, are assumed to send
 // to the target before the next report. If requests are queued here, they are
-// assumed to be queued on other entries as well: on as many as the report states,
-// or on all entries if it states none.
+// assumed to be queued on other entries as well: on as many as the report states
+// but at least maxCompetitors, or on all entries if the report states none. There
+// are never more competitors than entries.
 //
 // Without the reported number, a single client of a rare model on a site with
 // many entries would wait for seconds although the freshly loaded target is
@@ -290,10 +293,11 @@
 	}
 }
 
-// shareOfFree returns this entry's share of a target's free slots among so many
-// entries that compete for them. If there are more entries than maxCompetitors,
-// the share is rounded up or down by a random number that is drawn with each
-// report, so that chance distributes the remainder of the division.
+// shareOfFree returns this entry's share of a target's free slots if the number
+// of entries given by competing compete for them. If there are more entries than
+// maxCompetitors, the share is rounded up or down by a random number that is
+// drawn with each new count of running requests, so that chance distributes the
+// remainder of the division.
 func (t *Target) shareOfFree(free, entries, competing int) int64 {
 	if entries <= maxCompetitors {
 		return int64(free / entries)
@@ -303,8 +307,10 @@
 }
 
 // estimate returns the predicted time to first token in nanoseconds: the
-// observed time on an idle target, multiplied by a factor for the load that the
-// last report states and this entry has added since.
+// observed time on an idle target, multiplied by a factor for the load. The load
+// is what the last report states plus what this entry has added since, counted
+// once for each of up to maxCompetitors entries, and at least this entry's
+// requests in flight.
 func (t *Target) estimate(q *Query) float64 {
 	info := t.info.Load()
 
@@ -319,8 +325,9 @@
 	return first * (1 + load/float64(max(1, info.Slots)))
 }
 
-// ejected returns the share of the targets that are ejected.
-func ejected(targets []*Target, now time.Time) float64 {
+// ejectedShare returns the share of the targets that are ejected. It counts only
+// the first maxCounted.
+func ejectedShare(targets []*Target, now time.Time) float64 {
 	// The limit keeps the time of a choice independent of the number of targets.
 	const maxCounted = 32
 
@@ -367,9 +374,10 @@
 	maxEjection     = 30 * time.Second
 )
 
-// RecordFailure records that a request failed through the target's fault. Otherwise a
-// target that fails every request immediately would look like the fastest one and
-// attract traffic.
+// RecordFailure records that a request failed through the target's fault, and
+// ejects the target after failuresToEject consecutive failures. Without ejection,
+// a target that fails every request immediately would look like the fastest one
+// and attract traffic.
 func (t *Target) RecordFailure(now time.Time) {
 	n := t.failures.Add(1)
 	if n < failuresToEject {
@@ -387,8 +395,8 @@
 }
 
 // MarkDead records that an incarnation of the target was found dead at now. No
-// requests are sent to it until a new incarnation or a later report appears. MarkDead
-// returns false if the death is already recorded.
+// requests are sent to it until a new incarnation or a later report appears.
+// MarkDead returns false if the death is already recorded.
 func (t *Target) MarkDead(incarnation string, now time.Time) bool {
 	old := t.dead.Load()
 	if old != nil && old.incarnation == incarnation && t.Dead() {
@@ -420,8 +428,9 @@
 	return t.reportedAt.Load() < d.at.Add(deathOverride).UnixNano()
 }
 
-// RecordSuccess records a complete answer, its time to first token and the load under
-// which it was sent. Only complete answers count towards the target's speed.
+// RecordSuccess records a complete answer, its time to first token and the load
+// under which its request was sent. Only complete answers count towards the
+// target's speed.
 func (t *Target) RecordSuccess(firstToken time.Duration, load int) {
 	t.failures.Store(0)
 
--- a/internal/serving/router/load_test.go
+++ b/internal/serving/router/load_test.go
@@ -74,7 +74,7 @@
 		most = max(most, running)
 	}
 
-	// With 83 competitors assumed, 547 of 801 had to wait.
+	// If each entry assumed 83 competitors, 547 of the 801 requests would wait.
 	assert.Assert(t, waited < 300, "%d waited", waited)
 	assert.Assert(t, most <= slots+queue/2, "%d ran at once", most)
 }
@@ -201,15 +201,17 @@
 		most = max(most, running)
 	}
 
-	// One request from each entry would be 83, and more from those with several.
+	// With one request from each entry 83 would run, and more if some entries had
+	// several.
 	assert.Assert(t, most <= 2*slots, "%d ran at once", most)
-	// Of 40 requests, for the slots and the headroom, a third ends by each report.
+	// The target takes up to 40 requests (32 slots times the headroom), and a third
+	// of them end before each report.
 	assert.Assert(t, served > 200*slots/4, "%d served", served)
 }
 
-// TestOneCount publishes a target many times with the same count of running
-// requests, or with none, as after a power loss of all entries. A publication
-// without a new count must not hand out the free slots again.
+// TestOneCount publishes a target 25 times with each of two counts of running
+// requests, as happens after a power loss of all entries. Publishing the same
+// count again must not let entries use the free slots again.
 func TestOneCount(t *testing.T) {
 	var table Table
 
@@ -235,7 +237,8 @@
 		}
 	}
 
-	// For each of two counts: 40 slots divided by eight, and one by chance.
+	// For each of the two counts, the entry's share is 40 slots (32 times the
+	// headroom) divided by maxCompetitors (eight), possibly rounded up by one.
 	assert.Assert(t, begun <= 2*(40/maxCompetitors+1), "%d begun", begun)
 }
 
@@ -246,10 +249,10 @@
 	const entries = 195
 
 	for name, tc := range map[string]struct {
-		lines, least, most int
+		waitingEntries, least, most int
 	}{
-		"one entry has queued requests":    {lines: 8, least: 1, most: 2},
-		"all entries have queued requests": {lines: 256, least: 0, most: 1},
+		"at most eight entries have queued requests": {waitingEntries: 8, least: 1, most: 2},
+		"all entries may have queued requests":       {waitingEntries: 256, least: 0, most: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var table Table
@@ -257,7 +260,7 @@
 			now := time.Unix(1000, 0)
 			table.Apply(&Snapshot{
 				Token: 1, Number: 1, Added: []Replica{{Target: "t", Model: "m"}},
-				Targets: []TargetInfo{{ID: "t", Slots: 12, Speed: 1, WaitingEntries: tc.lines}},
+				Targets: []TargetInfo{{ID: "t", Slots: 12, Speed: 1, WaitingEntries: tc.waitingEntries}},
 			}, now)
 
 			begun := 0
--- a/internal/serving/router/router_test.go
+++ b/internal/serving/router/router_test.go
@@ -48,14 +48,15 @@
 func TestApply(t *testing.T) {
 	var table Table
 
-	whole := &Snapshot{
+	complete := &Snapshot{
 		Token: 2, Number: 5, Targets: []TargetInfo{info(1), info(2)},
 		Added: []Replica{{"t1", "a"}, {"t2", "a"}, {"t2", "b"}},
 	}
-	assert.Assert(t, table.Apply(whole, now))
+	assert.Assert(t, table.Apply(complete, now))
 	assert.Equal(t, len(table.Targets("a")), 2)
 
-	// Late, or from a former lease holder: dropped, and no complete one is requested.
+	// Late, or from a former lease holder: dropped, and no complete snapshot is
+	// requested.
 	assert.Assert(t, table.Apply(&Snapshot{Token: 1, Number: 99}, now))
 	assert.Assert(t, table.Apply(&Snapshot{Token: 2, Number: 4, Base: 3, Removed: []Replica{{"t1", "a"}}}, now))
 	assert.Equal(t, len(table.Targets("a")), 2)
@@ -91,8 +92,8 @@
 	assert.Equal(t, len(table.All()), 2)
 }
 
-// TestDeltasEqualCompleteState checks that a table that applied every delta equals the
-// complete state at the end.
+// TestDeltasEqualCompleteState checks that a table that applied every delta
+// equals the complete state at the end.
 func TestDeltasEqualCompleteState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var deltas Table
@@ -186,8 +187,8 @@
 }
 
 // TestBackAfterLeaving restarts a leaving target under the same id and address.
-// An entry that never saw it removed in between must use it again, but not
-// because of a late report of the former process.
+// An entry whose table kept the target during the restart must use the new
+// process. A late report of the former process must not make the target usable.
 func TestBackAfterLeaving(t *testing.T) {
 	table := tableOf(info(1, func(i *TargetInfo) { i.Leaving = true }))
 	next := func(number uint64, change func(*TargetInfo)) *Target {
@@ -201,8 +202,8 @@
 	assert.Assert(t, next(104, func(i *TargetInfo) { i.Incarnation, i.Leaving = "new", true }) == nil, "the new one leaves")
 }
 
-// TestFailingFast guards against a target that fails every request at once and
-// so looks like the fastest. After three consecutive failures it must get no
+// TestFailingFast guards against a target that fails every request immediately
+// and so looks like the fastest. After three consecutive failures it must get no
 // requests for a while, and the other of two targets must stay usable.
 func TestFailingFast(t *testing.T) {
 	table := tableOf(info(1), info(2))
@@ -258,13 +259,13 @@
 	}
 
 	var (
-		active []running
-		busy   = make([]int, len(speeds))
-		free   = make([][]time.Time, len(speeds))
-		firsts []time.Duration
-		clock  = now
-		report = now
-		number = uint64(1)
+		active      []running
+		busy        = make([]int, len(speeds))
+		free        = make([][]time.Time, len(speeds))
+		firstTokens []time.Duration
+		clock       = now
+		report      = now
+		number      = uint64(1)
 	)
 
 	for i := range free {
@@ -305,7 +306,7 @@
 
 		t := choose(table.Targets("m"), &Query{Entries: entries, Now: clock, Affinity: fmt.Sprint(rng.IntN(1000))})
 		if t == nil {
-			firsts = append(firsts, time.Minute)
+			firstTokens = append(firstTokens, time.Minute)
 
 			continue
 		}
@@ -326,7 +327,7 @@
 
 		took := time.Duration(float64(service) / speeds[at])
 		free[at][slot] = begin.Add(took)
-		firsts = append(firsts, begin.Sub(clock)+took/2)
+		firstTokens = append(firstTokens, begin.Sub(clock)+took/2)
 
 		inFlight := t.InFlight()
 		t.Begin(false)
@@ -337,20 +338,19 @@
 		active = append(active, running{target: t, end: begin.Add(took), at: at})
 	}
 
-	slices.Sort(firsts)
+	slices.Sort(firstTokens)
 
-	return firsts
+	return firstTokens
 }
 
-// mixed are the speeds of targets of which some are four times slower than
-// others.
+// mixed lists the speeds of targets, which differ by up to a factor of four.
 var mixed = []float64{1, 4, 1, 2, 1, 4, 2, 1}
 
 func p95(all []time.Duration) time.Duration { return all[len(all)*95/100] }
 
 func random(targets []*Target, _ *Query) *Target { return targets[rand.IntN(len(targets))] }
 
-func leastOwn(targets []*Target, _ *Query) *Target {
+func fewestInFlight(targets []*Target, _ *Query) *Target {
 	return slices.MinFunc(targets, func(a, b *Target) int { return a.InFlight() - b.InFlight() })
 }
 
@@ -370,9 +370,9 @@
 func TestPolicyAgainstNaive(t *testing.T) {
 	policy := p95(simulate(mixed, Choose))
 	naive := map[string]time.Duration{
-		"random":      p95(simulate(mixed, random)),
-		"round robin": p95(simulate(mixed, roundRobin())),
-		"least own":   p95(simulate(mixed, leastOwn)),
+		"random":           p95(simulate(mixed, random)),
+		"round robin":      p95(simulate(mixed, roundRobin())),
+		"fewest in flight": p95(simulate(mixed, fewestInFlight)),
 	}
 
 	for name, d := range naive {
--- a/internal/serving/router/table.go
+++ b/internal/serving/router/table.go
@@ -30,8 +30,8 @@
 	Slots          int
 	Running        int
 	Waiting        int
-	// WaitingEntries is the upper bound of the number of entries with queued requests for
-	// one of the target's models. Zero means unknown.
+	// WaitingEntries is an upper bound on the number of entries with queued
+	// requests for one of the target's models. Zero means unknown.
 	WaitingEntries int
 	// ReportAge is the age of the report when it was published.
 	ReportAge time.Duration
@@ -94,14 +94,15 @@
 	Address    netip.AddrPort
 	Cell       int
 
-	// info is the last published report. It is replaced, never changed.
+	// info is the last published TargetInfo. It is replaced, never changed.
 	info atomic.Pointer[TargetInfo]
 	// reportedAt is when info was measured, in nanoseconds since 1970.
 	reportedAt atomic.Int64
-	// inFlightAtReport is the value of inFlight when info was applied.
+	// inFlightAtReport is the value of inFlight when the last new count of
+	// running requests was applied.
 	inFlightAtReport atomic.Int64
 	// remainderDraw holds the bits of a random float64 in [0, 1) that is drawn
-	// with each report.
+	// with each new count of running requests.
 	remainderDraw atomic.Uint64
 	// inFlight is the number of this entry's requests on the target.
 	inFlight atomic.Int64
@@ -114,13 +115,14 @@
 	ejectedUntil atomic.Int64
 	// failures is the number of consecutive failures.
 	failures atomic.Int64
-	dead     atomic.Pointer[deathRecord]
+	// dead is the death that was recorded last, or nil.
+	dead atomic.Pointer[deathRecord]
 	// firstTokenNs is the smoothed time to first token without queueing, in
 	// nanoseconds. Zero means unknown.
 	firstTokenNs atomic.Int64
 }
 
-// Info returns the last published report of the target.
+// Info returns the last published TargetInfo of the target.
 func (t *Target) Info() TargetInfo {
 	if info := t.info.Load(); info != nil {
 		return *info
@@ -129,7 +131,8 @@
 	return TargetInfo{ID: t.ID}
 }
 
-// MarkLeaving marks the target as leaving. It returns false if it was marked already.
+// MarkLeaving marks the target as leaving. It returns false if the target was
+// marked already.
 func (t *Target) MarkLeaving() bool { return t.leaving.CompareAndSwap(false, true) }
 
 // Leaving reports whether the target is leaving and accepts no new requests.
@@ -236,42 +239,43 @@
 func (t *Table) Position(cell int) Position { return t.latest().cells[cell].Position }
 
 // Apply applies a snapshot that arrived at now. It returns false if the snapshot
-// is a delta to another version than the table has; the sender must then send a
-// complete snapshot. A snapshot with an older token or number is dropped: it comes
-// from a former lease holder or arrived late, and would route requests to replicas
-// that no longer exist.
+// is a delta based on another snapshot than the last one applied; the sender must
+// then send a complete snapshot. A snapshot with an older token, or with the same
+// token and no higher number, is dropped and Apply returns true: it comes from a
+// former lease holder or arrived late, and would route requests to replicas that
+// no longer exist.
 func (t *Table) Apply(s *Snapshot, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
 	old := t.latest()
-	p := old.cells[s.Cell]
+	state := old.cells[s.Cell]
 
-	if s.Token < p.Token || s.Token == p.Token && s.Number <= p.Number {
+	if s.Token < state.Token || s.Token == state.Token && s.Number <= state.Number {
 		return true
 	}
 
-	if s.Base != 0 && (s.Token != p.Token || s.Base != p.Number) {
+	if s.Base != 0 && (s.Token != state.Token || s.Base != state.Number) {
 		return false
 	}
 
-	t.current.Store(old.apply(s, p, now))
+	t.current.Store(old.apply(s, state, now))
 
 	return true
 }
 
 // apply returns the next version. It shares everything with v that the snapshot
 // does not change.
-func (v *version) apply(s *Snapshot, p cellState, now time.Time) *version {
+func (v *version) apply(s *Snapshot, state cellState, now time.Time) *version {
 	next := &version{models: v.models, targets: v.targets, cells: make(map[int]cellState, len(v.cells)+1)}
 	maps.Copy(next.cells, v.cells)
 
-	targets := make(map[instance.ID]bool, len(p.targets)+len(s.Targets))
+	targets := make(map[instance.ID]bool, len(state.targets)+len(s.Targets))
 
 	if s.Base == 0 {
-		next.clearCell(s, p)
+		next.clearCell(s, state)
 	} else {
-		for id := range p.targets {
+		for id := range state.targets {
 			targets[id] = true
 		}
 	}
@@ -312,13 +316,13 @@
 
 // clearCell removes all replicas of the cell, and those of its targets that the
 // complete snapshot s does not list.
-func (v *version) clearCell(s *Snapshot, p cellState) {
+func (v *version) clearCell(s *Snapshot, state cellState) {
 	listed := make(map[instance.ID]bool, len(s.Targets))
 	for _, info := range s.Targets {
 		listed[info.ID] = true
 	}
 
-	for id := range p.targets {
+	for id := range state.targets {
 		if !listed[id] {
 			v.targets = v.targets.Delete(id)
 		}
@@ -342,8 +346,8 @@
 	}
 
 	// A target may restart under the same id and address. The last message from
-	// its former process may have said that it is leaving; that must not keep
-	// requests from the new process.
+	// its former process may have said that it is leaving; this must not prevent
+	// requests to the new process.
 	old := t.info.Load()
 	if old != nil && old.Incarnation != info.Incarnation {
 		t.leaving.Store(false)
@@ -408,7 +412,7 @@
 func (v *version) mergeWaits() {
 	v.waits = make(map[string]Wait)
 
-	for _, p := range v.cells {
-		maps.Copy(v.waits, p.waits)
+	for _, state := range v.cells {
+		maps.Copy(v.waits, state.waits)
 	}
 }
--- a/internal/serving/stream/stream.go
+++ b/internal/serving/stream/stream.go
@@ -74,8 +74,8 @@
 	maxSilence = 10 * time.Second
 )
 
-// GapEstimator estimates the time between the events of a stream and how long a silence
-// is normal, as TCP estimates its retransmission timeout (Jacobson and Karels).
+// GapEstimator estimates the time between the events of a stream and how long a
+// silence is normal, as TCP estimates its retransmission timeout (Jacobson and Karels).
 // Without samples the bound is maxSilence.
 type GapEstimator struct {
 	mean, dev float64
--- a/internal/serving/stream/stream_test.go
+++ b/internal/serving/stream/stream_test.go
@@ -49,13 +49,13 @@
 		})
 	}
 
-	var crossed *WrongRequestError
+	var wrongRequest *WrongRequestError
 
 	_, err := (&Checker{RequestID: "r", Max: 1}).Accept(frame("q", 0, false))
-	assert.Assert(t, errors.As(err, &crossed))
+	assert.Assert(t, errors.As(err, &wrongRequest))
 }
 
-func TestGap(t *testing.T) {
+func TestGapEstimator(t *testing.T) {
 	var g GapEstimator
 
 	assert.Equal(t, g.Bound(), maxSilence)
