--- a/internal/customer/limit/home.go
+++ b/internal/customer/limit/home.go
@@ -83,57 +83,58 @@
 	changedAt time.Time
 }
 
-// grantRecord is what one entry was granted.
+// grantRecord is what one entry demanded and was granted.
 type grantRecord struct {
 	Amount
 
-	want  Amount
-	until time.Time
+	demand Amount
+	until  time.Time
 }
 
 // MembershipChanged records that the owners of plans may have changed. This owner
 // grants nothing until the grants of the previous owners have expired; otherwise
 // the limits could be granted twice.
-func (h *Owner) MembershipChanged(now time.Time) { h.changedAt = now }
+func (o *Owner) MembershipChanged(now time.Time) { o.changedAt = now }
 
 // Grant answers a request from one of n entries.
-func (h *Owner) Grant(p plan.Plan, a Request, n int, now time.Time) Grant {
-	if now.Before(h.changedAt.Add(GrantTTL + clockMargin)) {
+func (o *Owner) Grant(p plan.Plan, r Request, n int, now time.Time) Grant {
+	if now.Before(o.changedAt.Add(GrantTTL + clockMargin)) {
 		return Grant{}
 	}
 
-	if h.plans == nil {
-		h.plans = make(map[string]map[instance.ID]grantRecord)
+	if o.plans == nil {
+		o.plans = make(map[string]map[instance.ID]grantRecord)
 	}
 
-	entries := h.plans[p.Name]
+	entries := o.plans[p.Name]
 	if entries == nil {
 		entries = make(map[instance.ID]grantRecord)
-		h.plans[p.Name] = entries
+		o.plans[p.Name] = entries
 	}
 
-	for id, l := range entries {
-		if !now.Before(l.until) {
+	for id, g := range entries {
+		if !now.Before(g.until) {
 			delete(entries, id)
 		}
 	}
 
-	delete(entries, a.Entry)
+	delete(entries, r.Entry)
 
-	l := grantRecord{Amount: divide(p, entries, a, n), want: a.Demand, until: now.Add(GrantTTL + clockMargin)}
-	l.Concurrency = max(l.Concurrency, 0)
+	g := grantRecord{Amount: divide(p, entries, r, n), demand: r.Demand, until: now.Add(GrantTTL + clockMargin)}
+	g.Concurrency = max(g.Concurrency, 0)
 
-	counted := l
-	counted.Concurrency = max(l.Concurrency, a.Running)
-	entries[a.Entry] = counted
+	counted := g
+	counted.Concurrency = max(g.Concurrency, r.Running)
+	entries[r.Entry] = counted
 
-	return Grant{Amount: l.Amount, TTL: GrantTTL}
+	return Grant{Amount: g.Amount, TTL: GrantTTL}
 }
 
 // divide returns the entry's part: its demand if all demands fit, otherwise a
-// part in proportion to its demand. It is never more than what is neither granted
-// to others nor reserved for the static shares of entries without a grant.
-func divide(p plan.Plan, others map[instance.ID]grantRecord, a Request, n int) Amount {
+// part in proportion to its demand. An entry that demands concurrency gets at
+// least one request if one is free. The part is never more than what is neither
+// granted to others nor reserved for the static shares of entries without a grant.
+func divide(p plan.Plan, others map[instance.ID]grantRecord, r Request, n int) Amount {
 	all, static := Whole(p), Static(p, n)
 	without := max(0, n-1-len(others))
 
@@ -142,36 +143,36 @@
 		Concurrency: all.Concurrency - without*static.Concurrency,
 		Tokens:      all.Tokens - float64(without)*static.Tokens,
 	}
-	wants := a.Demand
-
-	for _, o := range others {
-		free.Rate -= max(o.Rate, static.Rate)
-		free.Concurrency -= max(o.Concurrency, static.Concurrency)
-		free.Tokens -= max(o.Tokens, static.Tokens)
-		wants.Rate += o.want.Rate
-		wants.Concurrency += o.want.Concurrency
-		wants.Tokens += o.want.Tokens
+	total := r.Demand
+
+	for _, g := range others {
+		free.Rate -= max(g.Rate, static.Rate)
+		free.Concurrency -= max(g.Concurrency, static.Concurrency)
+		free.Tokens -= max(g.Tokens, static.Tokens)
+		total.Rate += g.demand.Rate
+		total.Concurrency += g.demand.Concurrency
+		total.Tokens += g.demand.Tokens
 	}
 
 	fair := Amount{
-		Rate:        share(all.Rate, a.Demand.Rate, wants.Rate),
-		Concurrency: int(share(float64(all.Concurrency), float64(a.Demand.Concurrency), float64(wants.Concurrency))),
-		Tokens:      share(all.Tokens, a.Demand.Tokens, wants.Tokens),
+		Rate:        share(all.Rate, r.Demand.Rate, total.Rate),
+		Concurrency: int(share(float64(all.Concurrency), float64(r.Demand.Concurrency), float64(total.Concurrency))),
+		Tokens:      share(all.Tokens, r.Demand.Tokens, total.Tokens),
 	}
 
 	return Amount{
 		Rate:        max(0, min(fair.Rate, free.Rate)),
-		Concurrency: max(0, min(max(fair.Concurrency, min(1, a.Demand.Concurrency)), free.Concurrency)),
+		Concurrency: max(0, min(max(fair.Concurrency, min(1, r.Demand.Concurrency)), free.Concurrency)),
 		Tokens:      max(0, min(fair.Tokens, free.Tokens)),
 	}
 }
 
-// share returns want, or its proportional part of all if the sum of all wants
-// exceeds all.
-func share(all, want, wants float64) float64 {
-	if wants <= all || wants == 0 {
-		return want
+// share returns demand, or its proportional part of all if total, the sum of all
+// demands, exceeds all.
+func share(all, demand, total float64) float64 {
+	if total <= all || total == 0 {
+		return demand
 	}
 
-	return all * want / wants
+	return all * demand / total
 }
--- a/internal/customer/limit/limit_test.go
+++ b/internal/customer/limit/limit_test.go
@@ -33,24 +33,24 @@
 		var owner Owner
 
 		clock := now.Add(time.Hour)
-		held := make(map[instance.ID]Amount)
+		granted := make(map[instance.ID]Amount)
 		until := make(map[instance.ID]time.Time)
 
-		for range rapid.IntRange(1, 60).Draw(t, "asks") {
+		for range rapid.IntRange(1, 60).Draw(t, "requests") {
 			clock = clock.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "pause")) * time.Millisecond)
 			id := instance.ID(fmt.Sprint("e", rapid.IntRange(0, entries-1).Draw(t, "entry")))
 
 			running := 0
 			if clock.Before(until[id]) {
-				running = rapid.IntRange(0, held[id].Concurrency).Draw(t, "running")
+				running = rapid.IntRange(0, granted[id].Concurrency).Draw(t, "running")
 			}
 
 			g := owner.Grant(p, Request{Entry: id, Plan: "p", Running: running, Demand: Amount{
-				Rate:        rapid.Float64Range(0, 600).Draw(t, "wantRate"),
-				Concurrency: rapid.IntRange(0, 100).Draw(t, "wantConcurrency"),
-				Tokens:      rapid.Float64Range(0, 2000).Draw(t, "wantTokens"),
+				Rate:        rapid.Float64Range(0, 600).Draw(t, "rate demanded"),
+				Concurrency: rapid.IntRange(0, 100).Draw(t, "concurrency demanded"),
+				Tokens:      rapid.Float64Range(0, 2000).Draw(t, "tokens demanded"),
 			}}, entries, clock)
-			held[id], until[id] = g.Amount, clock.Add(g.TTL)
+			granted[id], until[id] = g.Amount, clock.Add(g.TTL)
 
 			var sum Amount
 
@@ -59,7 +59,7 @@
 
 				share := static
 				if clock.Before(until[e]) {
-					share = held[e]
+					share = granted[e]
 				}
 
 				sum.Rate += share.Rate
@@ -82,11 +82,11 @@
 	var owner Owner
 
 	p := plan.Plan{Name: "p", Concurrency: 10}
-	a := Request{Entry: "e", Plan: "p", Demand: Amount{Concurrency: 5}}
+	r := Request{Entry: "e", Plan: "p", Demand: Amount{Concurrency: 5}}
 
 	owner.MembershipChanged(now)
-	assert.Equal(t, owner.Grant(p, a, 2, now.Add(GrantTTL)).TTL, time.Duration(0))
-	assert.Equal(t, owner.Grant(p, a, 2, now.Add(GrantTTL+clockMargin)).Concurrency, 5)
+	assert.Equal(t, owner.Grant(p, r, 2, now.Add(GrantTTL)).TTL, time.Duration(0))
+	assert.Equal(t, owner.Grant(p, r, 2, now.Add(GrantTTL+clockMargin)).Concurrency, 5)
 }
 
 // TestGrantsFollowDemand checks that an idle entry's part is granted to a busy one and
@@ -95,16 +95,16 @@
 	var owner Owner
 
 	p := plan.Plan{Name: "p", Concurrency: 8}
-	ask := func(id string, want, running int, at time.Duration) int {
-		a := Request{Entry: instance.ID(id), Plan: "p", Demand: Amount{Concurrency: want}, Running: running}
+	grant := func(id string, demand, running int, at time.Duration) int {
+		r := Request{Entry: instance.ID(id), Plan: "p", Demand: Amount{Concurrency: demand}, Running: running}
 
-		return owner.Grant(p, a, 2, now.Add(time.Hour+at)).Concurrency
+		return owner.Grant(p, r, 2, now.Add(time.Hour+at)).Concurrency
 	}
 
-	assert.Equal(t, ask("a", 8, 0, 0), 7, "all but the static share of b")
-	assert.Equal(t, ask("b", 8, 0, 500*time.Millisecond), 1, "the rest")
-	assert.Equal(t, ask("a", 8, 2, time.Second), 4, "half, since b asks for as much")
-	assert.Equal(t, ask("b", 8, 2, 1100*time.Millisecond), 4)
+	assert.Equal(t, grant("a", 8, 0, 0), 7, "all but the static share of b")
+	assert.Equal(t, grant("b", 8, 0, 500*time.Millisecond), 1, "the rest")
+	assert.Equal(t, grant("a", 8, 2, time.Second), 4, "half, since b demands as much")
+	assert.Equal(t, grant("b", 8, 2, 1100*time.Millisecond), 4)
 }
 
 // bench is one entry's shares and a limit owner that may be unreachable.
@@ -119,14 +119,14 @@
 func newBench(p plan.Plan) *bench {
 	b := &bench{plan: p}
 	b.Entries = func() int { return 4 }
-	b.RequestGrant = func(_ context.Context, a Request) (Grant, error) {
+	b.RequestGrant = func(_ context.Context, r Request) (Grant, error) {
 		if b.unreachable {
 			return Grant{}, context.DeadlineExceeded
 		}
 
-		a.Entry = "e"
+		r.Entry = "e"
 
-		return b.owner.Grant(b.plan, a, 4, time.Now()), nil
+		return b.owner.Grant(b.plan, r, 4, time.Now()), nil
 	}
 
 	return b
--- a/internal/customer/limit/share.go
+++ b/internal/customer/limit/share.go
@@ -29,12 +29,15 @@
 	// same time; it decays.
 	peak      float64
 	decayedAt time.Time
-	// shortfall says that the owner granted less than requested, at shortAt.
+	// shortfall says that the last grant, requested at shortAt, was less than
+	// requested.
 	shortfall bool
 	shortAt   time.Time
 }
 
-// burst is how many seconds of a rate may be used at once.
+// burst is how many seconds' worth of requests may start at once; at least one
+// request may. The token balance starts with as many seconds' worth and grows to
+// at most the plan's tokens per minute.
 const burst = 1.0
 
 // Verdict says whether a request may start.
@@ -51,7 +54,7 @@
 )
 
 // Admit counts a request that is to start at now. n is the number of entries.
-// Unless the request is allowed, retryAfter says when to retry.
+// Unless the request is allowed, retryAfter is how long to wait before a retry.
 func (s *Share) Admit(p plan.Plan, n int, now time.Time) (v Verdict, retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,9 +75,9 @@
 	case p.Concurrency > 0 && s.running >= amount.Concurrency:
 		return refused, GrantTTL
 	case p.RequestsPerSecond > 0 && s.level < 1:
-		return refused, waitUntil(1-s.level, amount.Rate)
+		return refused, refillTime(1-s.level, amount.Rate)
 	case p.TokensPerMinute > 0 && s.tokens < 0:
-		return refused, waitUntil(-s.tokens, amount.Tokens)
+		return refused, refillTime(-s.tokens, amount.Tokens)
 	}
 
 	s.level--
@@ -115,7 +118,9 @@
 	s.tokens = min(s.tokens+passed*amount.Tokens, float64(p.TokensPerMinute))
 }
 
-func waitUntil(missing, rate float64) time.Duration {
+// refillTime returns how long it takes to refill the missing amount at the rate. At
+// a rate of zero it returns GrantTTL: by then the current grant has expired.
+func refillTime(missing, rate float64) time.Duration {
 	if rate <= 0 {
 		return GrantTTL
 	}
@@ -136,7 +141,7 @@
 // Ask returns what to request from the limit owner: the recent use and some
 // headroom, so that growing use need not wait for each grant. ok is false when
 // the share is idle.
-func (s *Share) Ask(p plan.Plan, now time.Time) (a Request, ok bool) {
+func (s *Share) Ask(p plan.Plan, now time.Time) (r Request, ok bool) {
 	const (
 		headroom = 1.5
 		spare    = 2
@@ -166,8 +171,9 @@
 	}, true
 }
 
-// Apply replaces the grant with the answer to a, which was sent at asked.
-func (s *Share) Apply(g Grant, a Request, asked time.Time) {
+// Apply replaces the grant with the answer to r, which was sent at requestedAt. An
+// answer without a grant changes nothing.
+func (s *Share) Apply(g Grant, r Request, requestedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -176,9 +182,9 @@
 	}
 
 	s.grant = g
-	s.until = asked.Add(g.TTL)
-	s.shortfall = g.Concurrency < a.Demand.Concurrency || g.Rate < a.Demand.Rate || g.Tokens < a.Demand.Tokens
-	s.shortAt = asked
+	s.until = requestedAt.Add(g.TTL)
+	s.shortfall = g.Concurrency < r.Demand.Concurrency || g.Rate < r.Demand.Rate || g.Tokens < r.Demand.Tokens
+	s.shortAt = requestedAt
 }
 
 // Running returns how many of the plan's requests run on this entry.
--- a/internal/customer/limit/shares.go
+++ b/internal/customer/limit/shares.go
@@ -12,16 +12,17 @@
 // must be set before use.
 type Shares struct {
 	// RequestGrant requests a grant from the plan's limit owner.
-	RequestGrant func(ctx context.Context, a Request) (Grant, error)
+	RequestGrant func(ctx context.Context, r Request) (Grant, error)
 	// Entries returns the number of entries.
 	Entries func() int
 
 	shares sync.Map // shares maps a plan's name to its *Share.
 }
 
-// A request waits for a grant, asking every askInterval for up to askTimeout, when
-// this entry's static share is used up and the owner does not answer or does not
-// grant yet.
+// A request waits for a grant, which is requested every askInterval for up to
+// askTimeout, when this entry's static share is used up and the owner does not
+// answer or does not grant yet. For askInterval after the request of a grant that
+// was smaller than requested, a limit counts as used up.
 const (
 	askInterval = 100 * time.Millisecond
 	askTimeout  = GrantTTL + 500*time.Millisecond
@@ -39,7 +40,8 @@
 }
 
 // Admit counts a request of the plan and, if necessary, requests a grant from the
-// limit owner. If the limit is used up it returns false and when to retry.
+// limit owner. If the limit is used up it returns false and how long to wait before a
+// retry.
 func (s *Shares) Admit(ctx context.Context, p plan.Plan) (retryAfter time.Duration, ok bool) {
 	share := s.Of(p.Name)
 	until := time.Now().Add(askTimeout)
@@ -74,24 +76,25 @@
 
 // refresh requests a grant once. It reports whether one was received.
 func (s *Shares) refresh(ctx context.Context, p plan.Plan, share *Share) bool {
-	asked := time.Now()
+	requestedAt := time.Now()
 
-	a, ok := share.Ask(p, asked)
+	r, ok := share.Ask(p, requestedAt)
 	if !ok {
 		return false
 	}
 
-	g, err := s.RequestGrant(ctx, a)
+	g, err := s.RequestGrant(ctx, r)
 	if err != nil || g.TTL == 0 {
 		return false
 	}
 
-	share.Apply(g, a, asked)
+	share.Apply(g, r, requestedAt)
 
 	return true
 }
 
-// Renew requests new grants for all plans that are in use.
+// Renew requests new grants for all plans that are in use, and deletes the shares of
+// removed plans that have no running requests.
 func (s *Shares) Renew(ctx context.Context, lists plan.State) {
 	s.shares.Range(func(key, value any) bool {
 		name, _ := key.(string)
--- a/internal/customer/list/list_test.go
+++ b/internal/customer/list/list_test.go
@@ -23,7 +23,7 @@
 }
 
 // TestConcurrentEdits guards against lost and doubled edits: eight operators edit the
-// same list concurrently, each retrying after a conflict, while answers of the table
+// same list concurrently, each retrying after a conflict, while answers of the store
 // are lost. At the end every accepted edit is present exactly once, in the order of
 // the versions.
 func TestConcurrentEdits(t *testing.T) {
@@ -128,9 +128,9 @@
 
 			_, err := s.Put(ctx, put)
 
-			var unknown *InDoubtError
+			var inDoubt *InDoubtError
 
-			assert.Assert(t, errors.As(err, &unknown))
+			assert.Assert(t, errors.As(err, &inDoubt))
 			p.SetFaults(platform.Faults{})
 
 			s.Table = p
@@ -169,7 +169,7 @@
 	}
 
 	rapid.Check(t, func(t *rapid.T) {
-		var r Cache
+		var c Cache
 
 		last := uint64(0)
 
@@ -178,12 +178,12 @@
 			to := rapid.IntRange(from, edits).Draw(t, "to")
 
 			if rapid.Bool().Draw(t, "whole") {
-				r.Restore(states[to])
+				c.Restore(states[to])
 			} else {
-				r.Apply(history[from:to])
+				c.Apply(history[from:to])
 			}
 
-			s := r.Current()
+			s := c.Current()
 			if s.Version() < last {
 				t.Fatalf("version went back from %d to %d", last, s.Version())
 			}
@@ -194,7 +194,7 @@
 				t.Fatalf("state is not that of version %d", last)
 			}
 
-			if after, ok := r.After(uint64(from)); ok && uint64(from) < last {
+			if after, ok := c.After(uint64(from)); ok && uint64(from) < last {
 				if after[0].Version != uint64(from+1) || after[len(after)-1].Version != last {
 					t.Fatalf("edits after %d: %d to %d", from, after[0].Version, after[len(after)-1].Version)
 				}
@@ -204,10 +204,10 @@
 }
 
 func TestChanged(t *testing.T) {
-	var r Cache
+	var c Cache
 
-	changed := r.Changed()
-	r.Apply([]plan.Edit{{Version: 2}})
+	changed := c.Changed()
+	c.Apply([]plan.Edit{{Version: 2}})
 
 	select {
 	case <-changed:
@@ -215,7 +215,7 @@
 	default:
 	}
 
-	r.Apply([]plan.Edit{{Version: 1}, {Version: 2}})
+	c.Apply([]plan.Edit{{Version: 1}, {Version: 2}})
 	<-changed
-	assert.Equal(t, r.Current().Version(), uint64(2))
+	assert.Equal(t, c.Current().Version(), uint64(2))
 }
--- a/internal/customer/list/register.go
+++ b/internal/customer/list/register.go
@@ -22,8 +22,8 @@
 const recentEdits = 512
 
 // Current returns the lists in force.
-func (r *Cache) Current() plan.State {
-	if s := r.current.Load(); s != nil {
+func (c *Cache) Current() plan.State {
+	if s := c.current.Load(); s != nil {
 		return *s
 	}
 
@@ -31,25 +31,25 @@
 }
 
 // Changed returns a channel that is closed when the version next grows.
-func (r *Cache) Changed() <-chan struct{} {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (c *Cache) Changed() <-chan struct{} {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 
-	if r.changed == nil {
-		r.changed = make(chan struct{})
+	if c.changed == nil {
+		c.changed = make(chan struct{})
 	}
 
-	return r.changed
+	return c.changed
 }
 
 // Apply applies the edits that follow the current version without a gap, and
 // returns those. Older edits are skipped, so the version never goes back, even if
 // a peer with an old copy sends them.
-func (r *Cache) Apply(edits []plan.Edit) []plan.Edit {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (c *Cache) Apply(edits []plan.Edit) []plan.Edit {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 
-	s := r.Current()
+	s := c.Current()
 
 	var applied []plan.Edit
 
@@ -61,9 +61,9 @@
 	}
 
 	if len(applied) > 0 {
-		r.recent = append(r.recent, applied...)
-		r.recent = r.recent[max(0, len(r.recent)-recentEdits):]
-		r.set(s)
+		c.recent = append(c.recent, applied...)
+		c.recent = c.recent[max(0, len(c.recent)-recentEdits):]
+		c.set(s)
 	}
 
 	return applied
@@ -71,40 +71,40 @@
 
 // Restore replaces the lists by a whole copy if that is newer. It reports whether
 // it was.
-func (r *Cache) Restore(s plan.State) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (c *Cache) Restore(s plan.State) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 
-	if s.Version() <= r.Current().Version() {
+	if s.Version() <= c.Current().Version() {
 		return false
 	}
 
-	r.recent = nil
-	r.set(s)
+	c.recent = nil
+	c.set(s)
 
 	return true
 }
 
-func (r *Cache) set(s plan.State) {
-	r.current.Store(&s)
+func (c *Cache) set(s plan.State) {
+	c.current.Store(&s)
 
-	if r.changed != nil {
-		close(r.changed)
-		r.changed = nil
+	if c.changed != nil {
+		close(c.changed)
+		c.changed = nil
 	}
 }
 
 // After returns the edits after the version. It reports false if some of them are
 // no longer retained.
-func (r *Cache) After(version uint64) ([]plan.Edit, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (c *Cache) After(version uint64) ([]plan.Edit, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 
-	for i, e := range r.recent {
+	for i, e := range c.recent {
 		if e.Version == version+1 {
-			return append([]plan.Edit(nil), r.recent[i:]...), true
+			return append([]plan.Edit(nil), c.recent[i:]...), true
 		}
 	}
 
-	return nil, version >= r.Current().Version()
+	return nil, version >= c.Current().Version()
 }
--- a/internal/customer/list/store.go
+++ b/internal/customer/list/store.go
@@ -1,4 +1,4 @@
-// Package list stores the operators' two lists: in the table service, where
+// Package list keeps the operators' two lists: in the platform's store, where
 // concurrent edits conflict and one of them is accepted, and in each entry, which
 // uses the newest version it has received.
 package list
@@ -13,7 +13,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/record"
 )
 
-// Store reads and edits the lists in the table service.
+// Store reads and edits the lists in the platform's store.
 type Store struct{ Table table.Service }
 
 // ConflictError says that an edit was based on an old version and was not accepted.
@@ -151,7 +151,7 @@
 	panic(fmt.Sprintf("list: change %T", c))
 }
 
-// Version returns the lists' version in the table.
+// Version returns the lists' version in the platform's store.
 func (s *Store) Version(ctx context.Context) (uint64, error) {
 	v, _, err := s.version(ctx)
 
--- a/internal/customer/plan/plan_test.go
+++ b/internal/customer/plan/plan_test.go
@@ -57,7 +57,7 @@
 // TestDiff checks that applying the difference between two lists leads from one to
 // the other, and that equal lists have no difference.
 func TestDiff(t *testing.T) {
-	draw := func(t *rapid.T) State {
+	randomState := func(t *rapid.T) State {
 		var (
 			plans      []Plan
 			allowances []Allowance
@@ -77,7 +77,7 @@
 	}
 
 	rapid.Check(t, func(t *rapid.T) {
-		from, to := draw(t), draw(t)
+		from, to := randomState(t), randomState(t)
 		got := from.Apply(Edit{Version: 8, Changes: Diff(from, to)})
 
 		if rest := Diff(got, to); len(rest) > 0 {
--- a/internal/customer/plan/state.go
+++ b/internal/customer/plan/state.go
@@ -187,7 +187,7 @@
 	s.plans = s.plans.Delete(name)
 
 	for _, k := range old.Keys {
-		if owner, _ := s.keys.Get(k); owner == name {
+		if planOfKey, _ := s.keys.Get(k); planOfKey == name {
 			s.keys = s.keys.Delete(k)
 		}
 	}
--- a/internal/customer/quota/home.go
+++ b/internal/customer/quota/home.go
@@ -91,12 +91,14 @@
 	buckets   map[string]*bucket
 }
 
-// pool is what was delegated of a group.
+// pool is what entries have delegated of a group's limits.
 type pool struct {
 	// part is the delegated fraction of the group's limits, from 0 to 1.
 	part float64
-	at   Uptime
-	// accrued is the integral of part over time, in seconds of a whole limit.
+	// at is the time up to which accrued is computed.
+	at Uptime
+	// accrued is the integral of part over time, in seconds: a whole limit adds 1 in
+	// each second.
 	accrued float64
 }
 
@@ -105,51 +107,56 @@
 type bucket struct {
 	limit team.Limit
 	group int
-	// level falls below zero only after a request larger than the burst.
+	// level falls below zero only after a request larger than the delegated part of
+	// the burst.
 	level float64
 	// accrued is the pool's value at the last fill.
 	accrued float64
 }
 
-// Accept accepts a delegation. entries is a lower bound on the number of entries.
-func (h *Owner) Accept(l Delegation, entries int, now Uptime) {
-	if l.Until <= now {
+// Accept accepts a delegation. entries is the number of entries that share the
+// limits: each delegated part counts as 1/(entries*Parts) of them, so if entries were
+// too low, the owners together could grant more than a limit. A node passes the
+// number of listed entries, itself included, and before its first scan of the list a
+// number larger than the largest site.
+func (o *Owner) Accept(d Delegation, entries int, now Uptime) {
+	if d.Until <= now {
 		return
 	}
 
-	h.advance(entries, now)
+	o.advance(entries, now)
 
-	if h.delegations == nil {
-		h.delegations = make(map[instance.ID]*[Slots]Uptime)
+	if o.delegations == nil {
+		o.delegations = make(map[instance.ID]*[Slots]Uptime)
 	}
 
-	until := h.delegations[l.Entry]
+	until := o.delegations[d.Entry]
 	if until == nil {
 		until = new([Slots]Uptime)
-		h.delegations[l.Entry] = until
+		o.delegations[d.Entry] = until
 	}
 
 	for slot := range Slots {
-		if !l.Slots.Has(slot) {
+		if !d.Slots.Has(slot) {
 			continue
 		}
 
 		if until[slot] <= now {
-			h.delegated[slot/Parts]++
+			o.delegated[slot/Parts]++
 		}
 
-		until[slot] = max(until[slot], l.Until)
+		until[slot] = max(until[slot], d.Until)
 	}
 
-	h.expiry = min(h.expiry, l.Until)
-	h.advance(entries, now)
+	o.expiry = min(o.expiry, d.Until)
+	o.advance(entries, now)
 }
 
 // Delegated returns the slots of an entry's share that are delegated to this owner.
-func (h *Owner) Delegated(entry instance.ID, now Uptime) SlotSet {
+func (o *Owner) Delegated(entry instance.ID, now Uptime) SlotSet {
 	var out SlotSet
 
-	if until := h.delegations[entry]; until != nil {
+	if until := o.delegations[entry]; until != nil {
 		for slot, t := range until {
 			if t > now {
 				out = out.With(slot)
@@ -162,30 +169,30 @@
 
 // Release drops all delegations. The entries may delegate their shares to others
 // once they have been notified.
-func (h *Owner) Release(now Uptime) {
-	h.delegations = nil
-	h.recount(now)
-	h.advance(1, now)
+func (o *Owner) Release(now Uptime) {
+	o.delegations = nil
+	o.recount(now)
+	o.advance(1, now)
 }
 
 // recount counts the delegations that have not expired and deletes the others.
-func (h *Owner) recount(now Uptime) {
-	h.delegated, h.expiry = [Groups]int{}, math.MaxInt64
+func (o *Owner) recount(now Uptime) {
+	o.delegated, o.expiry = [Groups]int{}, math.MaxInt64
 
-	for id, until := range h.delegations {
-		kept := false
+	for id, until := range o.delegations {
+		unexpired := false
 
 		for slot, t := range until {
 			if t > now {
-				h.delegated[slot/Parts]++
-				h.expiry = min(h.expiry, t)
+				o.delegated[slot/Parts]++
+				o.expiry = min(o.expiry, t)
 
-				kept = true
+				unexpired = true
 			}
 		}
 
-		if !kept {
-			delete(h.delegations, id)
+		if !unexpired {
+			delete(o.delegations, id)
 		}
 	}
 }
@@ -193,16 +200,16 @@
 // advance accrues the limits up to now and drops expired delegations. A pool that
 // shrinks reduces all its buckets at once, because the shares that left it now
 // fill another owner's buckets.
-func (h *Owner) advance(entries int, now Uptime) {
-	if now >= h.expiry {
-		h.recount(now)
+func (o *Owner) advance(entries int, now Uptime) {
+	if now >= o.expiry {
+		o.recount(now)
 	}
 
 	var shrunk [Groups]bool
 
-	for g := range h.pools {
-		p := &h.pools[g]
-		part := min(1, float64(h.delegated[g])/float64(Parts*max(1, entries)))
+	for g := range o.pools {
+		p := &o.pools[g]
+		part := min(1, float64(o.delegated[g])/float64(Parts*max(1, entries)))
 
 		if part < p.part {
 			shrunk[g] = true
@@ -215,9 +222,9 @@
 		return
 	}
 
-	for _, b := range h.buckets {
+	for _, b := range o.buckets {
 		if shrunk[b.group] {
-			b.fill(&h.pools[b.group])
+			b.fill(&o.pools[b.group])
 		}
 	}
 }
@@ -240,17 +247,17 @@
 }
 
 // Consume decides whether a request of the named team with the given cost may run.
-func (h *Owner) Consume(name string, limit team.Limit, cost float64, entries int, now Uptime) Decision {
-	h.advance(entries, now)
+func (o *Owner) Consume(name string, limit team.Limit, cost float64, entries int, now Uptime) Decision {
+	o.advance(entries, now)
 
 	if !limit.Bounded() {
 		return Decision{Granted: true, Part: 1}
 	}
 
-	b := h.bucket(name, limit)
-	p := &h.pools[b.group]
+	b := o.bucket(name, limit)
+	p := &o.pools[b.group]
 	need := min(cost, p.part*limit.Burst)
-	spare := p.part * (h.Slack.Tolerance + h.Slack.Overrun*limit.Burst)
+	spare := p.part * (o.Slack.Tolerance + o.Slack.Overrun*limit.Burst)
 
 	switch {
 	case p.part == 0:
@@ -270,44 +277,45 @@
 }
 
 const (
-	// unknownWait is the time after which a client may retry when the owner has no
-	// delegation to decide on: delegations move to another owner in about that time.
+	// unknownWait is the time after which a client may retry when the wait cannot be
+	// computed: the owner has no delegation, and delegations move to another owner in
+	// about that time; or the request is larger than the owner can ever grant.
 	unknownWait = time.Second
 	// minWait keeps a client from retrying before the refusal has been sent.
 	minWait = 10 * time.Millisecond
 )
 
 // Refund credits the cost of a request that was granted but did not run.
-func (h *Owner) Refund(name string, limit team.Limit, amount float64, entries int, now Uptime) {
-	h.advance(entries, now)
+func (o *Owner) Refund(name string, limit team.Limit, amount float64, entries int, now Uptime) {
+	o.advance(entries, now)
 
-	b := h.bucket(name, limit)
-	b.level = min(b.level+amount, h.pools[b.group].part*limit.Burst)
+	b := o.bucket(name, limit)
+	b.level = min(b.level+amount, o.pools[b.group].part*limit.Burst)
 }
 
 // bucket returns a team's bucket, filled under the limit now in force.
-func (h *Owner) bucket(name string, limit team.Limit) *bucket {
-	if h.buckets == nil {
-		h.buckets = make(map[string]*bucket)
+func (o *Owner) bucket(name string, limit team.Limit) *bucket {
+	if o.buckets == nil {
+		o.buckets = make(map[string]*bucket)
 	}
 
-	b := h.buckets[name]
+	b := o.buckets[name]
 	if b == nil {
 		b = &bucket{group: GroupOf(name)}
-		h.buckets[name] = b
+		o.buckets[name] = b
 	}
 
 	b.limit = limit
-	b.fill(&h.pools[b.group])
+	b.fill(&o.pools[b.group])
 
 	return b
 }
 
 // Retain deletes the buckets of the teams for which known returns false.
-func (h *Owner) Retain(known func(name string) bool) {
-	for name := range h.buckets {
+func (o *Owner) Retain(known func(name string) bool) {
+	for name := range o.buckets {
 		if !known(name) {
-			delete(h.buckets, name)
+			delete(o.buckets, name)
 		}
 	}
 }
--- a/internal/customer/quota/lender.go
+++ b/internal/customer/quota/lender.go
@@ -19,8 +19,8 @@
 	// clockDrift is how much longer an entry honours a delegation than the owner,
 	// whose clock may run slower.
 	clockDrift = 50 * time.Millisecond
-	// clockRetention is how long an owner's clock reading is retained. Delegations
-	// are shorter.
+	// clockRetention is how long an owner's clock reading is retained. No
+	// delegation lasts that long.
 	clockRetention = time.Minute
 )
 
@@ -51,17 +51,18 @@
 	// FormerOwners are the entries that may have been owners then.
 	FormerOwners []instance.ID
 
-	// held are the slots of this entry's share that the processes on other instances
-	// report as delegated to them. A process that started later than this one holds
-	// none.
-	held map[instance.ID]SlotSet
-	// bindings are the owners that may still use a slot, and until when.
-	bindings [Slots]binding
-	clocks   map[Process]clockReading
+	// reported are the slots of this entry's share that the processes on other
+	// instances report as delegated to them. For a process that started later than
+	// this one the set is empty.
+	reported map[instance.ID]SlotSet
+	// bySlot is, for each slot, the owner to which it was last delegated and until
+	// when that owner may use it.
+	bySlot [Slots]slotDelegation
+	clocks map[Process]clockReading
 }
 
-// binding is a slot's delegation.
-type binding struct {
+// slotDelegation is a slot's last delegation. The zero value means none.
+type slotDelegation struct {
 	to    Process
 	until time.Time
 }
@@ -72,13 +73,13 @@
 	at    time.Time
 }
 
-// Delegations returns the delegations to send, by owner, and records them as made. An
-// owner without a recent clock reading gets an empty delegation, whose reply
-// carries its clock.
-func (l *Delegator) Delegations(owners Owners, self instance.ID, entries int, now time.Time) map[Process]Delegation {
+// Delegations returns the delegations to send, by owner, and records them. To an
+// owner without a recent clock reading it sends an empty delegation; the owner's
+// reply contains its clock.
+func (d *Delegator) Delegations(owners Owners, self instance.ID, entries int, now time.Time) map[Process]Delegation {
 	out := make(map[Process]Delegation)
 	ttl := TTL(entries)
-	formerExpired := now.Sub(l.Started) >= ttl+clockDrift
+	formerExpired := now.Sub(d.Started) >= ttl+clockDrift
 
 	for slot, to := range owners {
 		if to.ID == "" {
@@ -90,13 +91,13 @@
 			delegation = Delegation{Entry: self}
 		}
 
-		reading, known := l.clocks[to]
+		reading, known := d.clocks[to]
 		fresh := known && now.Sub(reading.at) < ttl
 
-		if fresh && l.available(slot, to, now) && (formerExpired || l.unusedByFormer(slot, to.ID)) {
+		if fresh && d.available(slot, to, now) && (formerExpired || d.unusedByFormer(slot, to.ID)) {
 			delegation.Slots = delegation.Slots.With(slot)
 			delegation.Until = reading.stamp + Uptime(ttl)
-			l.bind(slot, to, reading.at.Add(ttl+clockDrift))
+			d.assign(slot, to, reading.at.Add(ttl+clockDrift))
 		}
 
 		out[to] = delegation
@@ -105,86 +106,86 @@
 	return out
 }
 
-// bind records that a slot is delegated at least until the given time.
-func (l *Delegator) bind(slot int, to Process, until time.Time) {
-	b := &l.bindings[slot]
-	b.to = to
+// assign records that a slot is delegated to an owner at least until the given time.
+func (d *Delegator) assign(slot int, to Process, until time.Time) {
+	s := &d.bySlot[slot]
+	s.to = to
 
-	if until.After(b.until) {
-		b.until = until
+	if until.After(s.until) {
+		s.until = until
 	}
 }
 
 // available reports whether a slot may be delegated to an owner: this process has
 // no unexpired delegation of it to another.
-func (l *Delegator) available(slot int, to Process, now time.Time) bool {
-	b := l.bindings[slot]
+func (d *Delegator) available(slot int, to Process, now time.Time) bool {
+	s := d.bySlot[slot]
 
-	return b.to == to || !now.Before(b.until)
+	return s.to == to || !now.Before(s.until)
 }
 
-// unusedByFormer reports whether the entry's previous process has no delegation
-// of the slot to another owner than this one: all entries that may have been
-// owners have answered.
+// unusedByFormer reports whether it is proved that the entry's previous process has
+// not delegated the slot to another owner: all other entries that may have been
+// owners have answered, and none reports the slot.
 //
 // Without this, after a simultaneous restart of all entries, when nothing is
 // delegated, no team with a limit would be served until a whole TTL had passed.
-func (l *Delegator) unusedByFormer(slot int, owner instance.ID) bool {
-	for _, id := range l.FormerOwners {
-		held, answered := l.held[id]
-		if id != owner && (!answered || held.Has(slot)) {
+func (d *Delegator) unusedByFormer(slot int, owner instance.ID) bool {
+	for _, id := range d.FormerOwners {
+		slots, answered := d.reported[id]
+		if id != owner && (!answered || slots.Has(slot)) {
 			return false
 		}
 	}
 
-	return len(l.FormerOwners) > 0
+	return len(d.FormerOwners) > 0
 }
 
-// RecordDelegated records the slots of this entry's share that the process on an instance
-// holds; none if no process runs there.
-func (l *Delegator) RecordDelegated(id instance.ID, held SlotSet) {
-	if l.held == nil {
-		l.held = make(map[instance.ID]SlotSet)
+// RecordDelegated records which slots of this entry's share are delegated to the
+// process on an instance. If no process runs there, slots is empty.
+func (d *Delegator) RecordDelegated(id instance.ID, slots SlotSet) {
+	if d.reported == nil {
+		d.reported = make(map[instance.ID]SlotSet)
 	}
 
-	l.held[id] = held
+	d.reported[id] = slots
 }
 
 // RecordClock records an owner's clock; at is when its reply arrived. It reports whether
 // there was no recent reading of that owner, in which case a delegation may follow
 // at once.
-func (l *Delegator) RecordClock(owner Process, stamp Uptime, at time.Time) bool {
-	if l.clocks == nil {
-		l.clocks = make(map[Process]clockReading)
+func (d *Delegator) RecordClock(owner Process, stamp Uptime, at time.Time) bool {
+	if d.clocks == nil {
+		d.clocks = make(map[Process]clockReading)
 	}
 
-	old, known := l.clocks[owner]
-	l.clocks[owner] = clockReading{stamp: stamp, at: at}
+	old, known := d.clocks[owner]
+	d.clocks[owner] = clockReading{stamp: stamp, at: at}
 
-	for p, h := range l.clocks {
-		if at.Sub(h.at) > clockRetention {
-			delete(l.clocks, p)
+	for process, reading := range d.clocks {
+		if at.Sub(reading.at) > clockRetention {
+			delete(d.clocks, process)
 		}
 	}
 
 	return !known || at.Sub(old.at) > minInterval*2 //nolint:mnd // Two rounds.
 }
 
-// OwnerEnded releases what was delegated to an owner's process that has ended or that
-// gave back all delegations.
-func (l *Delegator) OwnerEnded(owner Process) {
-	delete(l.clocks, owner)
+// OwnerEnded deletes the delegations to an owner's process that has ended or has
+// released them all, so that their slots can be delegated again.
+func (d *Delegator) OwnerEnded(owner Process) {
+	delete(d.clocks, owner)
 
-	for slot := range l.bindings {
-		if l.bindings[slot].to == owner {
-			l.bindings[slot] = binding{}
+	for slot := range d.bySlot {
+		if d.bySlot[slot].to == owner {
+			d.bySlot[slot] = slotDelegation{}
 		}
 	}
 }
 
 // OwnerOf returns the process that may use a slot of this entry's share now.
-func (l *Delegator) OwnerOf(slot int, now time.Time) (Process, bool) {
-	b := l.bindings[slot]
+func (d *Delegator) OwnerOf(slot int, now time.Time) (Process, bool) {
+	s := d.bySlot[slot]
 
-	return b.to, b.to.ID != "" && now.Before(b.until)
+	return s.to, s.to.ID != "" && now.Before(s.until)
 }
--- a/internal/customer/quota/quota_test.go
+++ b/internal/customer/quota/quota_test.go
@@ -19,15 +19,15 @@
 type entry struct {
 	id        instance.ID
 	run       int
-	born      time.Time
+	startedAt time.Time
 	delegator Delegator
 	owner     Owner
-	started   bool
-	// frozenUntil is until when its process is suspended; until cutUntil it reaches
-	// no other entry and takes itself for the owner.
+	running   bool
+	// frozenUntil is when its process resumes. Until cutUntil it is partitioned from
+	// all other entries and uses itself as the owner.
 	frozenUntil, cutUntil time.Time
-	// choice is the index of the entry that it takes for the owner of all groups
-	// when it is not partitioned.
+	// choice is the index of the entry that it uses as the owner of all groups when it
+	// is not partitioned.
 	choice int
 }
 
@@ -35,7 +35,7 @@
 
 func (e *entry) start(now time.Time) {
 	e.run++
-	e.born, e.delegator, e.owner, e.started = now, Delegator{Started: now}, Owner{Slack: e.owner.Slack}, true
+	e.startedAt, e.delegator, e.owner, e.running = now, Delegator{Started: now}, Owner{Slack: e.owner.Slack}, true
 }
 
 // fleet simulates entries that delegate, consume and fail, and records every
@@ -77,7 +77,7 @@
 	return f
 }
 
-func (f *fleet) runs(e *entry) bool { return e.started && !f.now.Before(e.frozenUntil) }
+func (f *fleet) runs(e *entry) bool { return e.running && !f.now.Before(e.frozenUntil) }
 
 func (f *fleet) reaches(a, b *entry) bool {
 	return a == b || f.runs(b) && !f.cut(a) && !f.cut(b)
@@ -93,7 +93,7 @@
 	return f.entries[e.choice]
 }
 
-func (f *fleet) stamp(e *entry) Uptime { return Uptime(f.now.Sub(e.born)) }
+func (f *fleet) stamp(e *entry) Uptime { return Uptime(f.now.Sub(e.startedAt)) }
 
 // delegate plays one entry's round of delegations. Each is lost, delayed or delivered
 // as the schedule says.
@@ -110,7 +110,7 @@
 	for _, other := range f.entries[:choices] {
 		e.delegator.FormerOwners = append(e.delegator.FormerOwners, other.id)
 
-		if f.reaches(e, other) && f.now.Sub(e.born) < time.Second {
+		if f.reaches(e, other) && f.now.Sub(e.startedAt) < time.Second {
 			e.delegator.RecordDelegated(other.id, other.owner.Delegated(e.id, f.stamp(other)))
 		}
 	}
@@ -129,14 +129,14 @@
 
 // deliver delivers the delayed delegations to the processes they were sent to.
 func (f *fleet) deliver() {
-	f.delayed = slices.DeleteFunc(f.delayed, func(l delayedDelegation) bool {
-		if f.now.Before(l.at) {
+	f.delayed = slices.DeleteFunc(f.delayed, func(d delayedDelegation) bool {
+		if f.now.Before(d.at) {
 			return false
 		}
 
 		for _, e := range f.entries {
-			if e.process() == l.to && f.runs(e) {
-				e.owner.Accept(l.delegation, len(f.entries), f.stamp(e))
+			if e.process() == d.to && f.runs(e) {
+				e.owner.Accept(d.delegation, len(f.entries), f.stamp(e))
 			}
 		}
 
@@ -146,10 +146,10 @@
 
 // consume asks an owner to admit a request of an entry and records it if granted.
 func (f *fleet) consume(e *entry, cost float64) Decision {
-	to, bound := e.delegator.OwnerOf(SlotOf(GroupOf(simulated), 0), f.now)
+	to, delegated := e.delegator.OwnerOf(SlotOf(GroupOf(simulated), 0), f.now)
 	owner := f.ownerOf(e)
 
-	if bound {
+	if delegated {
 		for _, other := range f.entries {
 			if other.id == to.ID {
 				owner = other
@@ -161,12 +161,12 @@
 		return Decision{}
 	}
 
-	a := owner.owner.Consume(simulated, f.limit, cost, len(f.entries), f.stamp(owner))
-	if a.Granted {
+	d := owner.owner.Consume(simulated, f.limit, cost, len(f.entries), f.stamp(owner))
+	if d.Granted {
 		f.ran = append(f.ran, run{f.now, cost})
 	}
 
-	return a
+	return d
 }
 
 // doubled returns the entries whose share more than one owner may use.
@@ -225,11 +225,11 @@
 	rounding = 1e-6
 )
 
-// TestBoundHolds guards against more than the whole limit running within a window.
+// TestLimitNotExceeded guards against more than the whole limit running within a window.
 // Entries restart (also all at once), freeze, are partitioned and disagree on the
 // owner, and delegations are lost or delayed, while the clients of every entry
 // alternate between no requests and as many as are granted.
-func TestBoundHolds(t *testing.T) {
+func TestLimitNotExceeded(t *testing.T) {
 	served := 0
 
 	rapid.Check(t, func(t *rapid.T) {
@@ -255,7 +255,7 @@
 				t.Fatalf("shares of %v are used by two owners", doubled)
 			}
 
-			// ready advances the owners' state, so it is called seldom.
+			// ready advances the owners' state, so it is called only now and then.
 			if r.IntN(30) == 0 && f.ready() > limit.Burst+rounding {
 				t.Fatalf("%.3f would be granted at once, the burst is %.0f", f.ready(), limit.Burst)
 			}
@@ -266,7 +266,7 @@
 
 			for _, e := range f.entries {
 				for f.runs(e) {
-					if a := f.consume(e, 1); !a.Granted {
+					if d := f.consume(e, 1); !d.Granted {
 						break
 					}
 				}
@@ -310,8 +310,8 @@
 }
 
 // TestServesWholeLimit checks that without faults a team gets its whole limit, however
-// its requests are spread over the entries, also when its demand is many times
-// the limit.
+// its requests are spread over the entries, even when its demand is many times the
+// limit.
 func TestServesWholeLimit(t *testing.T) {
 	for name, demand := range map[string]float64{"below": 0.6, "above": 7.5} {
 		t.Run(name, func(t *testing.T) {
@@ -323,7 +323,7 @@
 
 			f := newFleet(84, team.Limit{PerSecond: rate, Burst: rate}, Slack{})
 
-			var asked, got, want float64
+			var requested, got, demanded float64
 
 			for step := range int(span / (50 * time.Millisecond)) {
 				f.now = f.now.Add(50 * time.Millisecond)
@@ -334,16 +334,16 @@
 					}
 				}
 
-				// Until then the delegations are not yet in place.
+				// During the first 100 steps (5 s) the delegations are not yet in place.
 				if step < 100 {
 					continue
 				}
 
-				for want += demand * rate / 20; asked < want; asked += cost {
-					if a := f.consume(f.entries[step*7%84], cost); a.Granted {
+				for demanded += demand * rate / 20; requested < demanded; requested += cost {
+					if d := f.consume(f.entries[step*7%84], cost); d.Granted {
 						got += cost
 					} else {
-						assert.Assert(t, a.Wait > 0 && a.Wait < time.Second)
+						assert.Assert(t, d.Wait > 0 && d.Wait < time.Second)
 					}
 				}
 			}
@@ -373,11 +373,11 @@
 				round()
 			}
 
-			a := f.consume(f.entries[1], 1500)
-			assert.Assert(t, a.Granted)
+			d := f.consume(f.entries[1], 1500)
+			assert.Assert(t, d.Granted)
 
 			dead := f.entries[0].process()
-			f.entries[0].started = false
+			f.entries[0].running = false
 
 			for _, e := range f.entries[1:] {
 				e.choice = 1
@@ -391,7 +391,7 @@
 			for {
 				round()
 
-				if a := f.consume(f.entries[2], 1500); a.Granted {
+				if d := f.consume(f.entries[2], 1500); d.Granted {
 					break
 				}
 
@@ -408,25 +408,25 @@
 }
 
 // TestRefund checks that the cost of a request that did not run can be used again,
-// and that returning never yields more than the burst.
+// and that refunds never raise a bucket above the burst.
 func TestRefund(t *testing.T) {
-	h := Owner{}
+	o := Owner{}
 	l := team.Limit{PerSecond: 10, Burst: 10}
 	second := Uptime(time.Second)
 
-	h.Accept(Delegation{Entry: "e", Slots: math.MaxUint16, Until: 100 * second}, 1, 0)
+	o.Accept(Delegation{Entry: "e", Slots: math.MaxUint16, Until: 100 * second}, 1, 0)
 
 	for range 10 {
-		assert.Assert(t, h.Consume("a", l, 1, 1, 2*second).Granted)
+		assert.Assert(t, o.Consume("a", l, 1, 1, 2*second).Granted)
 	}
 
-	assert.Assert(t, !h.Consume("a", l, 1, 1, 2*second).Granted)
-	h.Refund("a", l, 1, 1, 2*second)
-	assert.Assert(t, h.Consume("a", l, 1, 1, 2*second).Granted)
-	h.Refund("a", l, 1000, 1, 2*second)
+	assert.Assert(t, !o.Consume("a", l, 1, 1, 2*second).Granted)
+	o.Refund("a", l, 1, 1, 2*second)
+	assert.Assert(t, o.Consume("a", l, 1, 1, 2*second).Granted)
+	o.Refund("a", l, 1000, 1, 2*second)
 
 	granted := 0
-	for h.Consume("a", l, 1, 1, 2*second).Granted {
+	for o.Consume("a", l, 1, 1, 2*second).Granted {
 		granted++
 	}
 
@@ -436,21 +436,21 @@
 // TestLoweredLimit guards against a bucket that keeps its old burst after the limit was
 // lowered.
 func TestLoweredLimit(t *testing.T) {
-	h := Owner{}
+	o := Owner{}
 	second := Uptime(time.Second)
 
-	h.Accept(Delegation{Entry: "e", Slots: math.MaxUint16, Until: 100 * second}, 1, 0)
-	assert.Assert(t, h.Consume("a", team.Limit{PerSecond: 1000, Burst: 1000}, 1, 1, 2*second).Granted)
+	o.Accept(Delegation{Entry: "e", Slots: math.MaxUint16, Until: 100 * second}, 1, 0)
+	assert.Assert(t, o.Consume("a", team.Limit{PerSecond: 1000, Burst: 1000}, 1, 1, 2*second).Granted)
 
 	low := team.Limit{PerSecond: 10, Burst: 10}
 	granted := 0
 
-	for h.Consume("a", low, 1, 1, 2*second).Granted {
+	for o.Consume("a", low, 1, 1, 2*second).Granted {
 		granted++
 	}
 
 	assert.Equal(t, granted, 10)
-	assert.Equal(t, h.Consume("a", low, 1, 1, 2*second).Wait, 100*time.Millisecond)
+	assert.Equal(t, o.Consume("a", low, 1, 1, 2*second).Wait, 100*time.Millisecond)
 }
 
 // TestLargeRequest checks that a request larger than the burst runs once the burst
@@ -467,8 +467,8 @@
 	strict := Owner{}
 	strict.Accept(delegation, 1, 0)
 
-	a := strict.Consume("a", l, 4300, 1, Uptime(time.Minute))
-	assert.Assert(t, !a.Granted && a.Wait > 0)
+	d := strict.Consume("a", l, 4300, 1, Uptime(time.Minute))
+	assert.Assert(t, !d.Granted && d.Wait > 0)
 }
 
 // BenchmarkDelegate measures one delegation to an owner among 1,200 entries.
@@ -476,7 +476,7 @@
 	const entries = 1200
 
 	var (
-		h   Owner
+		o   Owner
 		now Uptime
 	)
 
@@ -487,7 +487,7 @@
 
 	for i := 0; b.Loop(); i++ {
 		now += Uptime(Interval(entries)) / entries
-		h.Accept(Delegation{Entry: ids[i%entries], Slots: math.MaxUint16, Until: now + Uptime(TTL(entries))}, entries, now)
+		o.Accept(Delegation{Entry: ids[i%entries], Slots: math.MaxUint16, Until: now + Uptime(TTL(entries))}, entries, now)
 	}
 }
 
@@ -495,10 +495,10 @@
 func BenchmarkConsume(b *testing.B) {
 	const entries = 1200
 
-	var h Owner
+	var o Owner
 
 	for i := range entries {
-		h.Accept(Delegation{Entry: instance.ID(fmt.Sprint(i)), Slots: math.MaxUint16, Until: Uptime(time.Hour)}, entries, 0)
+		o.Accept(Delegation{Entry: instance.ID(fmt.Sprint(i)), Slots: math.MaxUint16, Until: Uptime(time.Hour)}, entries, 0)
 	}
 
 	names := make([]string, 1000)
@@ -511,22 +511,22 @@
 
 	for i := 0; b.Loop(); i++ {
 		now += Uptime(time.Microsecond)
-		h.Consume(names[i%len(names)], l, 1, entries, now)
+		o.Consume(names[i%len(names)], l, 1, entries, now)
 	}
 }
 
 // TestNewDelegation guards against an owner that has just received a delegation and
 // refuses a team as if the team had used up its limit.
 func TestNewDelegation(t *testing.T) {
-	h := Owner{}
+	o := Owner{}
 	l := team.Limit{PerSecond: 100, Burst: 100}
 	second := Uptime(time.Second)
 
-	h.Accept(Delegation{Entry: "e", Slots: math.MaxUint16, Until: 100 * second}, 1, 10*second)
+	o.Accept(Delegation{Entry: "e", Slots: math.MaxUint16, Until: 100 * second}, 1, 10*second)
 
-	a := h.Consume("a", l, 50, 1, 10*second+second/4)
-	assert.Assert(t, !a.Granted && a.Filling)
+	d := o.Consume("a", l, 50, 1, 10*second+second/4)
+	assert.Assert(t, !d.Granted && d.Filling)
 
-	a = h.Consume("a", l, 150, 1, 12*second)
-	assert.Assert(t, !a.Granted && !a.Filling)
+	d = o.Consume("a", l, 150, 1, 12*second)
+	assert.Assert(t, !d.Granted && !d.Filling)
 }
--- a/internal/customer/team/team.go
+++ b/internal/customer/team/team.go
@@ -30,21 +30,21 @@
 	// Burst is how many units may be used at once in addition to that.
 	Burst float64
 	Unit  Unit
-	// DefaultCost is the cost of a request that names no number of tokens, if the limit
-	// counts tokens.
+	// DefaultCost is the cost of a request that states no number of tokens, if the
+	// limit counts tokens.
 	DefaultCost float64
 }
 
 // Bounded reports whether there is a limit.
 func (l Limit) Bounded() bool { return l.PerSecond > 0 }
 
-// Cost returns the cost of a request of the given number of tokens. named says
-// whether the request names that number.
-func (l Limit) Cost(tokens int, named bool) float64 {
+// Cost returns the cost of a request. If the limit counts tokens, that is the
+// request's number of tokens if stated is true, and DefaultCost otherwise.
+func (l Limit) Cost(tokens int, stated bool) float64 {
 	switch {
 	case l.Unit == Requests:
 		return 1
-	case !named:
+	case !stated:
 		return l.DefaultCost
 	}
 
@@ -66,15 +66,15 @@
 
 // Set is an immutable index of teams by key and by name. The zero value is empty.
 type Set struct {
-	byKey  map[key.Digest]keyOwner
+	byKey  map[key.Digest]teamKey
 	byName map[string]*Team
 	// limited says that at least one team has a limit.
 	limited bool
 }
 
-// keyOwner is a key and the team that has it. The key is stored here again, so
+// teamKey is a key and the team that has it. The key is stored here again, so
 // that it is compared in constant time, which the map's lookup does not ensure.
-type keyOwner struct {
+type teamKey struct {
 	key  key.Digest
 	team *Team
 }
@@ -90,7 +90,7 @@
 // NewSet returns the set of the teams. It fails if a team has no name, or if two
 // teams have the same name or share a key.
 func NewSet(teams []Team) (Set, error) {
-	s := Set{byKey: make(map[key.Digest]keyOwner), byName: make(map[string]*Team, len(teams))}
+	s := Set{byKey: make(map[key.Digest]teamKey), byName: make(map[string]*Team, len(teams))}
 
 	for i := range teams {
 		t := &teams[i]
@@ -111,7 +111,7 @@
 				return Set{}, &InvalidError{Team: t.Name, Reason: "has a key of team " + other.team.Name}
 			}
 
-			s.byKey[k] = keyOwner{key: k, team: t}
+			s.byKey[k] = teamKey{key: k, team: t}
 		}
 	}
 
@@ -126,12 +126,12 @@
 
 // ByKey returns the team that has the key, or nil.
 func (s *Set) ByKey(k key.Digest) *Team {
-	h, ok := s.byKey[k]
-	if !ok || subtle.ConstantTimeCompare(h.key[:], k[:]) != 1 {
+	found, ok := s.byKey[k]
+	if !ok || subtle.ConstantTimeCompare(found.key[:], k[:]) != 1 {
 		return nil
 	}
 
-	return h.team
+	return found.team
 }
 
 // ByName returns the team with the name, or nil.
--- a/internal/customer/team/team_test.go
+++ b/internal/customer/team/team_test.go
@@ -35,7 +35,7 @@
 	assert.Assert(t, none.ByKey(key.DigestOf("a")) == nil && none.ByName("a") == nil && none.Len() == 0)
 }
 
-func TestFaults(t *testing.T) {
+func TestNewSetFails(t *testing.T) {
 	for name, tc := range map[string]struct {
 		teams []Team
 		want  string
@@ -47,15 +47,15 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := NewSet(tc.teams)
 
-			var fault *InvalidError
+			var invalid *InvalidError
 
-			assert.Assert(t, errors.As(err, &fault))
+			assert.Assert(t, errors.As(err, &invalid))
 			assert.Error(t, err, tc.want)
 		})
 	}
 }
 
-func TestNarrow(t *testing.T) {
+func TestCheckBursts(t *testing.T) {
 	s, err := NewSet([]Team{
 		{Name: "ample", Limit: Limit{PerSecond: 5, Burst: 5}},
 		{Name: "none"},
@@ -64,10 +64,10 @@
 	})
 	assert.NilError(t, err)
 
-	faults := fmt.Sprint(s.CheckBursts())
-	assert.Equal(t, len(s.CheckBursts()), 2, faults)
-	assert.Assert(t, strings.Contains(faults, "team requests: the burst of 0.5 does not allow one request of 1"), faults)
-	assert.Assert(t, strings.Contains(faults, "team tokens: the burst of 100 does not allow one request of 200"), faults)
+	errs := fmt.Sprint(s.CheckBursts())
+	assert.Equal(t, len(s.CheckBursts()), 2, errs)
+	assert.Assert(t, strings.Contains(errs, "team requests: the burst of 0.5 does not allow one request of 1"), errs)
+	assert.Assert(t, strings.Contains(errs, "team tokens: the burst of 100 does not allow one request of 200"), errs)
 }
 
 func TestCost(t *testing.T) {
--- a/internal/fleet/clock/boot.go
+++ b/internal/fleet/clock/boot.go
@@ -7,20 +7,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// suspendedAtStart is how long the machine had been suspended at the first call.
-var suspendedAtStart = sync.OnceValue(suspendedSinceBoot)
+// suspendedAtFirstCall is how long the machine had been suspended when Now or Suspended
+// was first called.
+var suspendedAtFirstCall = sync.OnceValue(suspendedSinceBoot)
 
-// Now returns the runtime's clock, advanced by the time that the machine was
-// suspended since the process started.
+// Now returns the runtime's clock, advanced by Suspended.
 //
-// It guards against a holder that was suspended past the end of its lease: the
-// monotonic clock does not count that time, so the lease would still appear valid.
-// The time of day is not used, because it jumps.
+// Without this, a holder that was suspended past the end of its lease would go on
+// using it, because by the monotonic clock, which does not count that time, the
+// lease would still be valid. The time of day is not used, because it jumps.
 func Now() time.Time { return time.Now().Add(Suspended()) }
 
-// Suspended returns how long the machine was suspended since the process started.
+// Suspended returns how long the machine was suspended since Now or Suspended was
+// first called.
 func Suspended() time.Duration {
-	before := suspendedAtStart()
+	before := suspendedAtFirstCall()
 
 	return max(0, suspendedSinceBoot()-before)
 }
--- a/internal/fleet/clock/clock.go
+++ b/internal/fleet/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock waits on the runtime's clock, which tests can pause and advance.
+// Package clock reads the time, including time for which the machine was suspended,
+// and waits on the runtime's clock, which tests can pause and advance.
 package clock
 
 import (
--- a/internal/fleet/clock/clock_test.go
+++ b/internal/fleet/clock/clock_test.go
@@ -11,9 +11,9 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/clock"
 )
 
-// TestSleepOfNothing guards against a sleep of zero that returns nil although its
+// TestSleepZero guards against a sleep of zero that returns nil although its
 // context has ended.
-func TestSleepOfNothing(t *testing.T) {
+func TestSleepZero(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	assert.NilError(t, clock.Sleep(ctx, 0))
 	assert.NilError(t, clock.Sleep(ctx, -time.Second))
@@ -25,9 +25,9 @@
 	}
 }
 
-// TestSleepOfNothingInBubbles guards against sleeps of zero that crash the process
+// TestSleepZeroWithFakeClock guards against sleeps of zero that crash the process
 // under the race detector with a test's fake clock.
-func TestSleepOfNothingInBubbles(t *testing.T) {
+func TestSleepZeroWithFakeClock(t *testing.T) {
 	for range 1500 {
 		synctest.Test(t, func(t *testing.T) {
 			for range 8 {
--- a/internal/fleet/instance/instance.go
+++ b/internal/fleet/instance/instance.go
@@ -35,7 +35,7 @@
 	Leaving State = "leaving"
 )
 
-// Instance is one line of the platform's list.
+// Instance is one row of the platform's list.
 type Instance struct {
 	ID         ID
 	DataCentre DataCentre
--- a/internal/fleet/inventory/inventory.go
+++ b/internal/fleet/inventory/inventory.go
@@ -1,6 +1,7 @@
-// Package inventory records what one process has read of the targets in the
-// platform's list. It distinguishes a target that is gone from one whose row is
-// missing only because the store was unavailable. It does no I/O and reads no clock.
+// Package inventory records the targets that one process has read from the
+// platform's list, whose rows are in the store. It distinguishes a target that is
+// gone from one whose row is missing only because the store was unavailable. It does
+// no I/O and reads no clock.
 package inventory
 
 import (
@@ -23,14 +24,15 @@
 	// StartedMs is when the target's process started, in milliseconds since 1970 by the
 	// target's clock. Zero means unknown.
 	StartedMs int64
-	// Sequence is the number in the target's row. It may count heartbeats, so the
-	// state of orders is taken from the engine's own report instead.
+	// Sequence is the sequence number in the target's row. It may grow with each
+	// heartbeat, so it does not show whether an order was carried out; the engine's own
+	// report does.
 	Sequence uint64
 	Resident []ResidentModel
 	// InMemory and OnDisk are the models whose weights are cached in memory and on
 	// disk.
 	InMemory, OnDisk []string
-	// Version is the version of the list's row.
+	// Version is the version of the target's row.
 	Version uint64
 }
 
@@ -63,17 +65,19 @@
 type HistoryGoneError struct{ After uint64 }
 
 func (e *HistoryGoneError) Error() string {
-	return fmt.Sprintf("list: changes after %d are gone", e.After)
+	return fmt.Sprintf("list: changes after %d are no longer available", e.After)
 }
 
 const (
-	// recoveryGrace is how long after the store's recovery a row may be missing
-	// although its target is alive. The store's operators state about two seconds; a
-	// target that left must be dropped within two seconds, so the grace is shorter.
+	// recoveryGrace is how long after the store's recovery a target whose row is missing
+	// is retained. The store's operators say that rows of living targets may be missing
+	// for about two seconds. The grace is shorter, because a target that left must be
+	// dropped within two seconds.
 	recoveryGrace = 1700 * time.Millisecond
-	// minOutage is how long the store must have failed for rows to have expired. Rows
-	// expire after three missed heartbeats of 1.2 s, but a process that reads the
-	// store seldom notices the failure up to three seconds late.
+	// minOutage is how long this process must have seen the store fail for missing rows
+	// to count as expired by the outage. Rows expire after three missed heartbeats of
+	// 1.2 s, but a process that does not read the store often may notice the failure up
+	// to three seconds late.
 	minOutage = 500 * time.Millisecond
 )
 
@@ -81,8 +85,8 @@
 // for concurrent use.
 type Registry struct {
 	targets map[instance.ID]Target
-	// missing maps targets whose rows vanished around an outage to the time until
-	// which they are retained.
+	// missing maps targets whose rows disappeared during or just after an outage of the
+	// store to the time until which they are retained.
 	missing map[instance.ID]time.Time
 	// failedSince is when the store first failed after its last answer; zero means
 	// that it has not.
@@ -92,55 +96,55 @@
 }
 
 // StoreAnswered records that the store answered at now.
-func (b *Registry) StoreAnswered(now time.Time) {
-	if !b.failedSince.IsZero() && now.Sub(b.failedSince) > minOutage {
-		b.recoveredAt = now
+func (r *Registry) StoreAnswered(now time.Time) {
+	if !r.failedSince.IsZero() && now.Sub(r.failedSince) > minOutage {
+		r.recoveredAt = now
 	}
 
-	b.failedSince = time.Time{}
+	r.failedSince = time.Time{}
 }
 
 // StoreFailed records that the store did not answer at now.
-func (b *Registry) StoreFailed(now time.Time) {
-	if b.failedSince.IsZero() {
-		b.failedSince = now
+func (r *Registry) StoreFailed(now time.Time) {
+	if r.failedSince.IsZero() {
+		r.failedSince = now
 	}
 }
 
 // Apply applies changed rows.
-func (b *Registry) Apply(changes []Change, now time.Time) {
-	if b.targets == nil {
-		b.targets = make(map[instance.ID]Target)
-		b.missing = make(map[instance.ID]time.Time)
+func (r *Registry) Apply(changes []Change, now time.Time) {
+	if r.targets == nil {
+		r.targets = make(map[instance.ID]Target)
+		r.missing = make(map[instance.ID]time.Time)
 	}
 
 	for _, c := range changes {
 		switch {
 		case c.Removed:
-			b.remove(c.ID, now)
+			r.remove(c.ID, now)
 		case c.Err != nil:
-			delete(b.targets, c.ID)
+			delete(r.targets, c.ID)
 		default:
-			delete(b.missing, c.ID)
-			b.targets[c.ID] = c.Target
+			delete(r.missing, c.ID)
+			r.targets[c.ID] = c.Target
 		}
 	}
 }
 
 // Replace applies the whole list.
-func (b *Registry) Replace(all []Change, now time.Time) {
+func (r *Registry) Replace(all []Change, now time.Time) {
 	listed := make(map[instance.ID]bool, len(all))
 	for _, c := range all {
 		listed[c.ID] = true
 	}
 
-	for id := range b.targets {
+	for id := range r.targets {
 		if !listed[id] {
-			b.remove(id, now)
+			r.remove(id, now)
 		}
 	}
 
-	b.Apply(all, now)
+	r.Apply(all, now)
 }
 
 // remove drops a target, at once unless its row may have expired during an outage
@@ -149,35 +153,35 @@
 // After an outage all targets appear to be gone: their rows expired while no
 // instance could write. Dropping them would refuse every request until they had
 // written their rows again.
-func (b *Registry) remove(id instance.ID, now time.Time) {
-	t, ok := b.targets[id]
+func (r *Registry) remove(id instance.ID, now time.Time) {
+	t, ok := r.targets[id]
 	if !ok {
 		return
 	}
 
-	if t.Leaving || b.recoveredAt.IsZero() || now.Sub(b.recoveredAt) > recoveryGrace {
-		delete(b.targets, id)
+	if t.Leaving || r.recoveredAt.IsZero() || now.Sub(r.recoveredAt) > recoveryGrace {
+		delete(r.targets, id)
 
 		return
 	}
 
-	if _, waits := b.missing[id]; !waits {
-		b.missing[id] = b.recoveredAt.Add(recoveryGrace)
+	if _, waits := r.missing[id]; !waits {
+		r.missing[id] = r.recoveredAt.Add(recoveryGrace)
 	}
 }
 
 // Expire drops the missing targets whose rows did not return in time. It reports
 // whether there were any.
-func (b *Registry) Expire(now time.Time) bool {
+func (r *Registry) Expire(now time.Time) bool {
 	dropped := false
 
-	for id, until := range b.missing {
+	for id, until := range r.missing {
 		if now.Before(until) {
 			continue
 		}
 
-		delete(b.missing, id)
-		delete(b.targets, id)
+		delete(r.missing, id)
+		delete(r.targets, id)
 
 		dropped = true
 	}
@@ -186,16 +190,16 @@
 }
 
 // Missing reports whether a target is retained although its row has vanished.
-func (b *Registry) Missing(id instance.ID) bool {
-	_, ok := b.missing[id]
+func (r *Registry) Missing(id instance.ID) bool {
+	_, ok := r.missing[id]
 
 	return ok
 }
 
 // Targets returns a copy of the known targets.
-func (b *Registry) Targets() map[instance.ID]Target {
-	out := make(map[instance.ID]Target, len(b.targets))
-	for id, t := range b.targets {
+func (r *Registry) Targets() map[instance.ID]Target {
+	out := make(map[instance.ID]Target, len(r.targets))
+	for id, t := range r.targets {
 		out[id] = t
 	}
 
--- a/internal/fleet/inventory/inventory_test.go
+++ b/internal/fleet/inventory/inventory_test.go
@@ -33,7 +33,7 @@
 		// removal is read at 10000.
 		failed, answered []int
 		leaving          bool
-		// kept is how long the target is still known.
+		// kept is how long after the removal is read the target is retained.
 		kept time.Duration
 	}{
 		"in steady state":                  {nil, []int{8000, 9000, 10000}, false, 0},
@@ -48,35 +48,35 @@
 
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var b Registry
+			var r Registry
 
 			first := listed("a", "b")
 			first[0].Target.Leaving = c.leaving
-			b.Apply(first, at(0))
+			r.Apply(first, at(0))
 
 			for ms := 0; ms <= 10000; ms += 100 {
 				if slices.Contains(c.failed, ms) {
-					b.StoreFailed(at(ms))
+					r.StoreFailed(at(ms))
 				}
 
 				if slices.Contains(c.answered, ms) {
-					b.StoreAnswered(at(ms))
+					r.StoreAnswered(at(ms))
 				}
 			}
 
-			b.Replace(listed("b"), at(10000))
+			r.Replace(listed("b"), at(10000))
 
-			_, known := b.Targets()["a"]
+			_, known := r.Targets()["a"]
 			assert.Equal(t, known, c.kept > 0)
 
-			b.Expire(at(10000).Add(c.kept - time.Millisecond))
-			_, known = b.Targets()["a"]
+			r.Expire(at(10000).Add(c.kept - time.Millisecond))
+			_, known = r.Targets()["a"]
 			assert.Equal(t, known, c.kept > 0)
 
-			b.Expire(at(10000).Add(c.kept))
-			_, known = b.Targets()["a"]
+			r.Expire(at(10000).Add(c.kept))
+			_, known = r.Targets()["a"]
 			assert.Assert(t, !known)
-			assert.Equal(t, len(b.Targets()), 1)
+			assert.Equal(t, len(r.Targets()), 1)
 		})
 	}
 }
@@ -84,24 +84,24 @@
 // TestReturn checks that a target whose row was missing after an outage stays known
 // once the row returns in time.
 func TestReturn(t *testing.T) {
-	var b Registry
-
-	b.Apply(listed("a"), at(0))
-	b.StoreAnswered(at(0))
-	b.StoreFailed(at(2000))
-	b.StoreAnswered(at(5000))
-	b.Apply([]Change{{ID: "a", Removed: true}}, at(5000))
-	b.Apply(listed("a"), at(6000))
-	b.Expire(at(9000))
-	assert.Equal(t, len(b.Targets()), 1)
+	var r Registry
+
+	r.Apply(listed("a"), at(0))
+	r.StoreAnswered(at(0))
+	r.StoreFailed(at(2000))
+	r.StoreAnswered(at(5000))
+	r.Apply([]Change{{ID: "a", Removed: true}}, at(5000))
+	r.Apply(listed("a"), at(6000))
+	r.Expire(at(9000))
+	assert.Equal(t, len(r.Targets()), 1)
 }
 
 // TestBadRow checks that a target whose row was overwritten with an invalid one is
 // dropped, and that the other targets stay known.
 func TestBadRow(t *testing.T) {
-	var b Registry
+	var r Registry
 
-	b.Apply(listed("a", "b"), at(0))
-	b.Apply([]Change{{ID: "a", Err: &RowError{ID: "a", Reason: "no service"}}}, at(1))
-	assert.Equal(t, len(b.Targets()), 1)
+	r.Apply(listed("a", "b"), at(0))
+	r.Apply([]Change{{ID: "a", Err: &RowError{ID: "a", Reason: "no service"}}}, at(1))
+	assert.Equal(t, len(r.Targets()), 1)
 }
--- a/internal/fleet/membership/roll.go
+++ b/internal/fleet/membership/roll.go
@@ -1,10 +1,11 @@
 // Package membership maintains the membership: the entries that are alive, as each
 // entry sees them. Entries exchange their lists by gossip in rounds. Each process
-// increments its heartbeat once a round, and a heartbeat that one entry has
-// received reaches all others within a few rounds, so the work of an entry does
-// not grow with their number.
+// increments its heartbeat once a round. In a large membership an entry contacts
+// only a few members per round, and a heartbeat still reaches all of them within a
+// few rounds, so the number of exchanges of an entry does not grow with the
+// membership.
 //
-// The package does no I/O and reads no clock. The zero value has no members.
+// The package does no I/O and reads no clock.
 package membership
 
 import (
@@ -25,23 +26,24 @@
 	Address netip.AddrPort
 	// Process distinguishes the processes of an instance.
 	Process string
-	// Started is the time of day of the process's start. Of two processes of an instance
-	// it shows the newer; zero means unknown.
+	// Started is when the process started, by the time of day. Of two processes of an
+	// instance, the one with the later time is the newer. Zero means unknown.
 	Started time.Time
 	// Strength is the share of a processor that the instance has.
 	Strength float64
-	// Heartbeat is the heartbeat. It grows by one with each round of the process.
+	// Heartbeat is the number of rounds of the process, or leavingHeartbeat.
 	Heartbeat uint64
 	// Leaving says that the process is shutting down.
 	Leaving bool
 }
 
-// Digest summarises a list: its members and their heartbeats.
+// Digest summarises a list: its members, the sender among them, and their heartbeats.
 type Digest struct {
-	// MembersHash is a hash of the members' processes.
+	// MembersHash is a hash of the processes of the sender and its members.
 	MembersHash uint64
-	// Heartbeats are the members' heartbeats in the order of their ids. A leaving member's
-	// heartbeat is the highest possible.
+	// Heartbeats are the heartbeats of the sender and its members, in the order of
+	// their ids. A leaving member has leavingHeartbeat; a leaving sender still has its
+	// number of rounds.
 	Heartbeats []uint64
 }
 
@@ -50,20 +52,22 @@
 
 func processHash(process string) uint64 { return xxhash.Sum64String(process) }
 
-// leavingHeartbeat is the heartbeat of a process that is shutting down. Being the
-// highest possible, it overrides any later one of that process.
+// leavingHeartbeat is the heartbeat of a process that is shutting down. It is higher
+// than any number of rounds that a process reaches, so no heartbeat of the process
+// that arrives afterwards replaces it.
 const leavingHeartbeat = 1<<32 - 1
 
 const (
 	// FullMeshLimit is the largest number of members at which an entry gossips with all
-	// of them in every round. Up to here a round costs less than a digest saves.
+	// of them in every round. Up to this size such a round costs less than is saved by
+	// sending digests instead of whole lists.
 	FullMeshLimit = 12
 	// fanOut is the number of members contacted in a round of a larger membership: a
 	// heartbeat then reaches 1,200 members in five rounds.
 	fanOut = 4
 	// deadAfter is how long a member of a small membership counts as alive after its
-	// last heartbeat: slightly more than two lost rounds. In a large one a heartbeat
-	// takes some rounds to arrive, so deadAfterLarge applies.
+	// last heartbeat: slightly longer than two rounds, so that two may be lost. In a
+	// large one a heartbeat takes some rounds to arrive, so deadAfterLarge applies.
 	deadAfter      = 4 * time.Second
 	deadAfterLarge = 9 * time.Second
 	// retention is how long a member stays on the list after its last heartbeat, and
@@ -82,7 +86,8 @@
 	lastHeartbeat, listedAt time.Time
 }
 
-// List is the list of the other entries. It is not safe for concurrent use.
+// List is the list of the other entries. The zero value has no members. It is not
+// safe for concurrent use.
 type List struct {
 	// Self is this process. Its heartbeat is the number of rounds.
 	Self    Member
@@ -97,15 +102,15 @@
 }
 
 // BeginRound begins a round and returns the members to contact.
-func (r *List) BeginRound(now time.Time) []Member {
-	r.Self.Heartbeat++
-	r.expire(now)
+func (l *List) BeginRound(now time.Time) []Member {
+	l.Self.Heartbeat++
+	l.expire(now)
 
-	if len(r.members) <= FullMeshLimit {
-		return r.All()
+	if len(l.members) <= FullMeshLimit {
+		return l.All()
 	}
 
-	candidates := r.fingers()
+	candidates := l.fingers()
 	rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 
 	return candidates[:min(fanOut, len(candidates))]
@@ -114,75 +119,75 @@
 // fingers returns the members one, two, four and so on places after this one in
 // the order of ids. Contacting only these keeps an entry's connections few, and
 // still spreads a heartbeat to all within a few rounds.
-func (r *List) fingers() []Member {
-	r.sort()
+func (l *List) fingers() []Member {
+	l.sort()
 
-	self := slices.Index(r.sorted, nil)
+	self := slices.Index(l.sorted, nil)
 
 	var out []Member
-	for step := 1; step < len(r.sorted); step *= 2 {
-		out = append(out, *r.member(r.sorted[(self+step)%len(r.sorted)]))
+	for step := 1; step < len(l.sorted); step *= 2 {
+		out = append(out, *l.member(l.sorted[(self+step)%len(l.sorted)]))
 	}
 
 	return out
 }
 
-func (r *List) expire(now time.Time) {
-	for id, e := range r.members {
+func (l *List) expire(now time.Time) {
+	for id, e := range l.members {
 		if now.Sub(e.lastHeartbeat) > retention && now.Sub(e.listedAt) > retention {
-			r.addTombstone(e, now)
-			delete(r.members, id)
+			l.addTombstone(e, now)
+			delete(l.members, id)
 
-			r.sorted = nil
+			l.sorted = nil
 		}
 	}
 
-	for process, at := range r.tombstones {
+	for process, at := range l.tombstones {
 		if now.Sub(at) > retention {
-			delete(r.tombstones, process)
+			delete(l.tombstones, process)
 		}
 	}
 }
 
-func (r *List) addTombstone(e *memberState, now time.Time) {
-	if r.tombstones == nil {
-		r.tombstones = make(map[uint64]time.Time)
+func (l *List) addTombstone(e *memberState, now time.Time) {
+	if l.tombstones == nil {
+		l.tombstones = make(map[uint64]time.Time)
 	}
 
-	r.tombstones[e.hash] = now
+	l.tombstones[e.hash] = now
 }
 
 // Add adds a member that another entry or a row of the store names. A listed
 // process is replaced only by a newer one of the same instance.
 //
-// It guards against outdated rows and lists: just after an instance has restarted
-// they name its former process, which must not replace the new one.
-func (r *List) Add(m Member, now time.Time) {
-	if m.ID == r.Self.ID || m.ID == "" {
+// Rows and lists may be outdated: just after a restart of an instance they still
+// name its former process, which must not replace the new one.
+func (l *List) Add(m Member, now time.Time) {
+	if m.ID == l.Self.ID || m.ID == "" {
 		return
 	}
 
-	if _, removed := r.tombstones[processHash(m.Process)]; removed {
+	if _, removed := l.tombstones[processHash(m.Process)]; removed {
 		return
 	}
 
-	old := r.members[m.ID]
+	old := l.members[m.ID]
 
 	switch {
 	case old == nil:
-		r.insert(m, now)
+		l.insert(m, now)
 	case old.Process == m.Process:
 		old.recordHeartbeat(m.Heartbeat, now)
 		old.fillIn(m)
 	case m.Started.After(old.Started):
-		r.addTombstone(old, now)
-		r.insert(m, now)
+		l.addTombstone(old, now)
+		l.insert(m, now)
 	}
 }
 
-func (r *List) insert(m Member, now time.Time) {
-	if r.members == nil {
-		r.members = make(map[instance.ID]*memberState)
+func (l *List) insert(m Member, now time.Time) {
+	if l.members == nil {
+		l.members = make(map[instance.ID]*memberState)
 	}
 
 	e := &memberState{Member: m, hash: processHash(m.Process), listedAt: now}
@@ -190,28 +195,28 @@
 		e.Heartbeat = leavingHeartbeat
 	}
 
-	r.members[m.ID] = e
-	r.sorted = nil
+	l.members[m.ID] = e
+	l.sorted = nil
 }
 
-// RecordContact records direct contact with a member's process. Direct contact overrides
-// all that others reported about its instance, also if the time of day was set
-// back between two starts.
-func (r *List) RecordContact(m Member, now time.Time) {
-	if m.ID == r.Self.ID || m.ID == "" {
+// RecordContact records direct contact with a member's process. Direct contact
+// overrides everything that other entries reported about the instance, even if the
+// time of day was set back between two starts.
+func (l *List) RecordContact(m Member, now time.Time) {
+	if m.ID == l.Self.ID || m.ID == "" {
 		return
 	}
 
-	delete(r.tombstones, processHash(m.Process))
+	delete(l.tombstones, processHash(m.Process))
 
-	if old := r.members[m.ID]; old != nil && old.Process != m.Process {
-		r.addTombstone(old, now)
-		r.insert(m, now)
+	if old := l.members[m.ID]; old != nil && old.Process != m.Process {
+		l.addTombstone(old, now)
+		l.insert(m, now)
 	}
 
-	r.Add(m, now)
+	l.Add(m, now)
 
-	e := r.members[m.ID]
+	e := l.members[m.ID]
 	e.lastHeartbeat = now
 
 	if m.Leaving {
@@ -241,42 +246,42 @@
 }
 
 // sort rebuilds the sorted members if the list has changed.
-func (r *List) sort() {
-	if r.sorted != nil {
+func (l *List) sort() {
+	if l.sorted != nil {
 		return
 	}
 
-	r.sorted = append(r.sorted, nil)
-	for _, e := range r.members {
-		r.sorted = append(r.sorted, e)
+	l.sorted = append(l.sorted, nil)
+	for _, e := range l.members {
+		l.sorted = append(l.sorted, e)
 	}
 
-	slices.SortFunc(r.sorted, func(a, b *memberState) int { return cmp.Compare(r.member(a).ID, r.member(b).ID) })
+	slices.SortFunc(l.sorted, func(a, b *memberState) int { return cmp.Compare(l.member(a).ID, l.member(b).ID) })
 
 	h := xxhash.New()
-	for _, e := range r.sorted {
-		_, _ = h.WriteString(r.member(e).Process + " ") // A hash does not fail.
+	for _, e := range l.sorted {
+		_, _ = h.WriteString(l.member(e).Process + " ") // A hash does not fail.
 	}
 
-	r.membersHash = h.Sum64()
+	l.membersHash = h.Sum64()
 }
 
 // member returns the member that an element of sorted stands for.
-func (r *List) member(e *memberState) *Member {
+func (l *List) member(e *memberState) *Member {
 	if e == nil {
-		return &r.Self
+		return &l.Self
 	}
 
 	return &e.Member
 }
 
 // Digest returns the digest of this list.
-func (r *List) Digest() Digest {
-	r.sort()
+func (l *List) Digest() Digest {
+	l.sort()
 
-	d := Digest{MembersHash: r.membersHash, Heartbeats: make([]uint64, len(r.sorted))}
-	for i, e := range r.sorted {
-		d.Heartbeats[i] = r.member(e).Heartbeat
+	d := Digest{MembersHash: l.membersHash, Heartbeats: make([]uint64, len(l.sorted))}
+	for i, e := range l.sorted {
+		d.Heartbeats[i] = l.member(e).Heartbeat
 	}
 
 	return d
@@ -284,14 +289,14 @@
 
 // ApplyDigest applies the heartbeats of another entry's digest. It reports false if that
 // entry's list has other members, so that the heartbeats cannot be assigned.
-func (r *List) ApplyDigest(d Digest, now time.Time) bool {
-	r.sort()
+func (l *List) ApplyDigest(d Digest, now time.Time) bool {
+	l.sort()
 
-	if d.MembersHash != r.membersHash || len(d.Heartbeats) != len(r.sorted) {
+	if d.MembersHash != l.membersHash || len(d.Heartbeats) != len(l.sorted) {
 		return false
 	}
 
-	for i, e := range r.sorted {
+	for i, e := range l.sorted {
 		if e != nil {
 			e.recordHeartbeat(d.Heartbeats[i], now)
 		}
@@ -302,13 +307,13 @@
 
 // Heartbeats returns the heartbeats of all members and of this process, for an entry
 // whose list differs.
-func (r *List) Heartbeats() []ProcessHeartbeat {
-	out := make([]ProcessHeartbeat, 0, len(r.members)+1)
-	for _, e := range r.members {
+func (l *List) Heartbeats() []ProcessHeartbeat {
+	out := make([]ProcessHeartbeat, 0, len(l.members)+1)
+	for _, e := range l.members {
 		out = append(out, ProcessHeartbeat{e.hash, e.Heartbeat})
 	}
 
-	return append(out, ProcessHeartbeat{processHash(r.Self.Process), r.Self.Heartbeat})
+	return append(out, ProcessHeartbeat{processHash(l.Self.Process), l.Self.Heartbeat})
 }
 
 // ApplyHeartbeats applies the heartbeats of an entry whose list differs. It returns the
@@ -317,21 +322,21 @@
 // With hundreds of entries, some of them are always starting or ending, so lists
 // differ more often than not, though by few members. Sending whole members each
 // time would cost too much.
-func (r *List) ApplyHeartbeats(pulses []ProcessHeartbeat, now time.Time) []uint64 {
-	listed := make(map[uint64]*memberState, len(r.members))
-	for _, e := range r.members {
+func (l *List) ApplyHeartbeats(heartbeats []ProcessHeartbeat, now time.Time) []uint64 {
+	listed := make(map[uint64]*memberState, len(l.members))
+	for _, e := range l.members {
 		listed[e.hash] = e
 	}
 
 	var unknown []uint64
 
-	for _, p := range pulses {
-		_, removed := r.tombstones[p.Process]
+	for _, p := range heartbeats {
+		_, removed := l.tombstones[p.Process]
 
 		switch e := listed[p.Process]; {
 		case e != nil:
 			e.recordHeartbeat(p.Heartbeat, now)
-		case !removed && p.Process != processHash(r.Self.Process):
+		case !removed && p.Process != processHash(l.Self.Process):
 			unknown = append(unknown, p.Process)
 		}
 	}
@@ -340,7 +345,7 @@
 }
 
 // ByHash returns the members, including this process, with the given hashes.
-func (r *List) ByHash(hashes []uint64) []Member {
+func (l *List) ByHash(hashes []uint64) []Member {
 	if len(hashes) == 0 {
 		return nil
 	}
@@ -352,27 +357,27 @@
 
 	var out []Member
 
-	for _, e := range r.members {
+	for _, e := range l.members {
 		if asked[e.hash] {
 			out = append(out, e.Member)
 		}
 	}
 
-	if asked[processHash(r.Self.Process)] {
-		out = append(out, r.Self)
+	if asked[processHash(l.Self.Process)] {
+		out = append(out, l.Self)
 	}
 
 	return out
 }
 
 // Alive returns the members with a recent heartbeat that are not leaving.
-func (r *List) Alive(now time.Time) []Member {
-	return r.filter(func(e *memberState) bool { return r.alive(e, now) })
+func (l *List) Alive(now time.Time) []Member {
+	return l.filter(func(e *memberState) bool { return l.alive(e, now) })
 }
 
-func (r *List) alive(e *memberState, now time.Time) bool {
+func (l *List) alive(e *memberState, now time.Time) bool {
 	limit := deadAfter
-	if len(r.members) > FullMeshLimit {
+	if len(l.members) > FullMeshLimit {
 		limit = deadAfterLarge
 	}
 
@@ -381,31 +386,31 @@
 
 // AliveOrNew returns the members that are alive, and those that were listed recently
 // and have not sent a heartbeat yet.
-func (r *List) AliveOrNew(now time.Time) []Member {
-	return r.filter(func(e *memberState) bool {
-		return r.alive(e, now) || !e.Leaving && e.lastHeartbeat.IsZero() && now.Sub(e.listedAt) < deadAfter
+func (l *List) AliveOrNew(now time.Time) []Member {
+	return l.filter(func(e *memberState) bool {
+		return l.alive(e, now) || !e.Leaving && e.lastHeartbeat.IsZero() && now.Sub(e.listedAt) < deadAfter
 	})
 }
 
 // Len returns the number of members.
-func (r *List) Len() int { return len(r.members) }
+func (l *List) Len() int { return len(l.members) }
 
 // All returns all members.
-func (r *List) All() []Member { return r.filter(func(*memberState) bool { return true }) }
+func (l *List) All() []Member { return l.filter(func(*memberState) bool { return true }) }
 
 // Get returns a member.
-func (r *List) Get(id instance.ID) (Member, bool) {
-	if e := r.members[id]; e != nil {
+func (l *List) Get(id instance.ID) (Member, bool) {
+	if e := l.members[id]; e != nil {
 		return e.Member, true
 	}
 
 	return Member{}, false
 }
 
-func (r *List) filter(keep func(*memberState) bool) []Member {
-	out := make([]Member, 0, len(r.members))
+func (l *List) filter(keep func(*memberState) bool) []Member {
+	out := make([]Member, 0, len(l.members))
 
-	for _, e := range r.members {
+	for _, e := range l.members {
 		if keep(e) {
 			out = append(out, e.Member)
 		}
--- a/internal/fleet/membership/roll_test.go
+++ b/internal/fleet/membership/roll_test.go
@@ -38,34 +38,34 @@
 
 func (c *gossipGroup) start(i int, process string) {
 	id := instance.ID(fmt.Sprintf("e%04d", i))
-	r := &List{Self: Member{ID: id, Process: string(id) + process, Started: c.now, Address: netip.MustParseAddrPort("127.0.0.1:1")}}
-	c.lists[id] = r
+	l := &List{Self: Member{ID: id, Process: string(id) + process, Started: c.now, Address: netip.MustParseAddrPort("127.0.0.1:1")}}
+	c.lists[id] = l
 
 	// Each entry finds a neighbour through the store.
 	for _, j := range []int{i - 1, i + 1} {
 		if other := c.lists[instance.ID(fmt.Sprintf("e%04d", j))]; other != nil {
-			r.Add(other.Self, c.now)
+			l.Add(other.Self, c.now)
 		}
 	}
 }
 
 // exchange plays both ends of an exchange.
 func (c *gossipGroup) exchange(from *List, to Member) {
-	r := c.lists[to.ID]
-	if r == nil || r.Self.Process != to.Process {
+	l := c.lists[to.ID]
+	if l == nil || l.Self.Process != to.Process {
 		return
 	}
 
 	c.exchanges++
 
-	r.RecordContact(from.Self, c.now)
-	same := r.ApplyDigest(from.Digest(), c.now)
-	from.RecordContact(r.Self, c.now)
+	l.RecordContact(from.Self, c.now)
+	same := l.ApplyDigest(from.Digest(), c.now)
+	from.RecordContact(l.Self, c.now)
 
-	if !from.ApplyDigest(r.Digest(), c.now) || !same {
+	if !from.ApplyDigest(l.Digest(), c.now) || !same {
 		c.differing++
 
-		for _, m := range r.ByHash(from.ApplyHeartbeats(r.Heartbeats(), c.now)) {
+		for _, m := range l.ByHash(from.ApplyHeartbeats(l.Heartbeats(), c.now)) {
 			c.sent++
 
 			from.Add(m, c.now)
@@ -77,9 +77,9 @@
 	for range n {
 		c.now = c.now.Add(round)
 
-		for _, r := range c.lists {
-			for _, to := range r.BeginRound(c.now) {
-				c.exchange(r, to)
+		for _, l := range c.lists {
+			for _, to := range l.BeginRound(c.now) {
+				c.exchange(l, to)
 			}
 		}
 	}
@@ -89,8 +89,8 @@
 func (c *gossipGroup) assertAlive(want int) {
 	c.t.Helper()
 
-	for id, r := range c.lists {
-		assert.Equal(c.t, len(r.Alive(c.now)), want, "on the list of %s", id)
+	for id, l := range c.lists {
+		assert.Equal(c.t, len(l.Alive(c.now)), want, "on the list of %s", id)
 	}
 }
 
@@ -104,11 +104,11 @@
 	}
 }
 
-// TestCostOfRound guards against rounds whose cost grows with the membership. When
-// all entries sent their whole lists to all others, the bytes between data centres
-// were most of the cost of a site of 83 entries. In the steady state a round must
-// cost each entry the same number of exchanges whatever the membership, and no whole
-// list.
+// TestCostOfRound guards against rounds whose cost grows with the membership: if all
+// entries sent their whole lists to all others, the bytes between data centres would
+// be most of the cost of a site of 83 entries. In the steady state a round must cost
+// each entry the same number of exchanges whatever the membership, and no whole list
+// may be sent.
 func TestCostOfRound(t *testing.T) {
 	for _, n := range []int{90, 300} {
 		c := newGroup(t, n)
@@ -154,8 +154,8 @@
 
 	c.rounds(int(2 * retention / round))
 
-	for id, r := range c.lists {
-		assert.Equal(t, len(r.All()), 59, "on the list of %s", id)
+	for id, l := range c.lists {
+		assert.Equal(t, len(l.All()), 59, "on the list of %s", id)
 	}
 }
 
@@ -168,8 +168,8 @@
 	c.rounds(12)
 	c.assertAlive(39)
 
-	for _, r := range c.lists {
-		if m, ok := r.Get("e0007"); ok {
+	for _, l := range c.lists {
+		if m, ok := l.Get("e0007"); ok {
 			assert.Equal(t, m.Process, "e0007second")
 		}
 	}
@@ -186,9 +186,9 @@
 
 	c.rounds(8)
 
-	for id, r := range c.lists {
+	for id, l := range c.lists {
 		if id != "e0003" {
-			assert.Equal(t, len(r.Alive(c.now)), 38, "on the list of %s", id)
+			assert.Equal(t, len(l.Alive(c.now)), 38, "on the list of %s", id)
 		}
 	}
 }
@@ -196,7 +196,8 @@
 // TestOldRow guards against an outdated row or list that replaces a member's new
 // process. After a loss of power an entry is in contact with an instance's new
 // process, and then reads a row or a peer's list that still names the former one. If
-// it took the new one for gone, it would send it no updates for half a minute.
+// that one replaced the new process, the entry would send the new process no updates
+// for half a minute.
 func TestOldRow(t *testing.T) {
 	former := Member{ID: "b", Process: "b1", Started: time.Unix(100, 0)}
 	present := Member{ID: "b", Process: "b2", Started: time.Unix(200, 0)}
@@ -204,33 +205,34 @@
 	setBack := Member{ID: "b", Process: "b3", Started: time.Unix(50, 0)}
 
 	for name, tc := range map[string]struct {
-		play func(r *List)
+		play func(l *List)
 		want string
 	}{
-		"contact, then an old row":     {func(r *List) { r.RecordContact(present, now); r.Add(former, now) }, "b2"},
-		"old row, then a newer one":    {func(r *List) { r.Add(former, now); r.Add(present, now) }, "b2"},
-		"new row, then an old one":     {func(r *List) { r.Add(present, now); r.Add(former, now) }, "b2"},
-		"row without a time":           {func(r *List) { r.RecordContact(present, now); r.Add(Member{ID: "b", Process: "b0"}, now) }, "b2"},
-		"contact with an earlier time": {func(r *List) { r.Add(present, now); r.RecordContact(setBack, now) }, "b3"},
-		"taken for gone, then contact": {func(r *List) { r.Add(former, now); r.Add(present, now); r.RecordContact(former, now) }, "b1"},
+		"contact, then an old row":     {func(l *List) { l.RecordContact(present, now); l.Add(former, now) }, "b2"},
+		"old row, then a newer one":    {func(l *List) { l.Add(former, now); l.Add(present, now) }, "b2"},
+		"new row, then an old one":     {func(l *List) { l.Add(present, now); l.Add(former, now) }, "b2"},
+		"row without a time":           {func(l *List) { l.RecordContact(present, now); l.Add(Member{ID: "b", Process: "b0"}, now) }, "b2"},
+		"contact with an earlier time": {func(l *List) { l.Add(present, now); l.RecordContact(setBack, now) }, "b3"},
+		"tombstone, then contact":      {func(l *List) { l.Add(former, now); l.Add(present, now); l.RecordContact(former, now) }, "b1"},
 	} {
-		r := &List{Self: Member{ID: "a", Process: "a1"}}
-		tc.play(r)
+		l := &List{Self: Member{ID: "a", Process: "a1"}}
+		tc.play(l)
 
-		m, _ := r.Get("b")
+		m, _ := l.Get("b")
 		assert.Equal(t, m.Process, tc.want, name)
 	}
 }
 
 // TestStrengthFilledIn guards against a member whose strength stays unknown because
-// the entry that first named it did not have the value. Then every instance would
-// consider itself the strongest, and all would try to acquire the lease at once.
+// the entry that first named it did not have the value. Every instance would
+// then rank as the strongest on its own list, and all would try to acquire the lease
+// at once.
 func TestStrengthFilledIn(t *testing.T) {
-	r := &List{Self: Member{ID: "a", Process: "a1"}}
-	r.Add(Member{ID: "b", Process: "b1"}, time.Unix(1, 0))
-	r.RecordContact(Member{ID: "b", Process: "b1", Strength: 0.8}, time.Unix(2, 0))
+	l := &List{Self: Member{ID: "a", Process: "a1"}}
+	l.Add(Member{ID: "b", Process: "b1"}, time.Unix(1, 0))
+	l.RecordContact(Member{ID: "b", Process: "b1", Strength: 0.8}, time.Unix(2, 0))
 
-	m, _ := r.Get("b")
+	m, _ := l.Get("b")
 	assert.Equal(t, m.Strength, 0.8)
 }
 
--- a/internal/fleet/peer/set.go
+++ b/internal/fleet/peer/set.go
@@ -10,7 +10,8 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// Timing holds the durations that the membership depends on.
+// Timing holds the durations by which a Set decides which peers count as live and
+// which instances count as gone.
 type Timing struct {
 	// Heartbeat is the time between two heartbeats to a peer.
 	Heartbeat time.Duration
@@ -38,10 +39,10 @@
 // members is one immutable version of the record.
 type members struct {
 	listed map[instance.ID]instance.Instance
-	// listedAt is when the list was last read. Zero means never.
-	listedAt time.Time
-	// firstListed is when the list was first read. Zero means never.
-	firstListed time.Time
+	// lastReadAt is when the list was last read. Zero means never.
+	lastReadAt time.Time
+	// firstReadAt is when the list was first read. Zero means never.
+	firstReadAt time.Time
 	// missingSince is when an instance was first missing from the list.
 	missingSince map[instance.ID]time.Time
 	statuses     map[instance.ID]received
@@ -49,6 +50,7 @@
 	entries []instance.ID
 }
 
+// received is a peer's last status and when it was received.
 type received struct {
 	Status
 
@@ -81,11 +83,11 @@
 			delete(m.missingSince, id)
 		}
 
-		if m.firstListed.IsZero() {
-			m.firstListed = now
+		if m.firstReadAt.IsZero() {
+			m.firstReadAt = now
 		}
 
-		m.listed, m.listedAt = listed, now
+		m.listed, m.lastReadAt = listed, now
 	})
 }
 
@@ -104,8 +106,8 @@
 	old := s.members()
 	next := &members{
 		listed:       old.listed,
-		listedAt:     old.listedAt,
-		firstListed:  old.firstListed,
+		lastReadAt:   old.lastReadAt,
+		firstReadAt:  old.firstReadAt,
 		missingSince: cloneMap(old.missingSince),
 		statuses:     cloneMap(old.statuses),
 	}
@@ -126,8 +128,8 @@
 func (m *members) live(self instance.ID, t Timing, now time.Time) []instance.ID {
 	ids := []instance.ID{self}
 
-	for id, h := range m.statuses {
-		if id != self && !h.Draining && now.Sub(h.at) <= t.DeadAfter {
+	for id, last := range m.statuses {
+		if id != self && !last.Draining && now.Sub(last.at) <= t.DeadAfter {
 			ids = append(ids, id)
 		}
 	}
@@ -171,7 +173,7 @@
 	return out
 }
 
-// Lookup returns the instance's line on the list.
+// Lookup returns the instance's row on the platform's list.
 func (s *Set) Lookup(id instance.ID) (instance.Instance, bool) {
 	in, ok := s.members().listed[id]
 
@@ -179,13 +181,13 @@
 }
 
 // ListedAt returns when the list was last read.
-func (s *Set) ListedAt() time.Time { return s.members().listedAt }
+func (s *Set) ListedAt() time.Time { return s.members().lastReadAt }
 
 // Gone reports whether the instance has been missing from the list for longer than
 // the list lags.
 func (s *Set) Gone(id instance.ID, now time.Time) bool {
 	m := s.members()
-	if m.listedAt.IsZero() {
+	if m.lastReadAt.IsZero() {
 		return false
 	}
 
@@ -195,7 +197,7 @@
 
 	since, ok := m.missingSince[id]
 	if !ok {
-		since = m.firstListed
+		since = m.firstReadAt
 	}
 
 	return now.Sub(since) > s.Timing.ListLag
@@ -209,34 +211,35 @@
 	var out []Status
 
 	for _, id := range slices.Sorted(maps.Keys(m.statuses)) {
-		if h := m.statuses[id]; now.Sub(h.at) <= s.Timing.DeadAfter {
-			out = append(out, h.Status)
+		if last := m.statuses[id]; now.Sub(last.at) <= s.Timing.DeadAfter {
+			out = append(out, last.Status)
 		}
 	}
 
 	return out
 }
 
-// FinishedWith reports whether it is proved that the process that ran on the instance
-// neither holds the cell's lease nor has an order in flight for the cell. The
-// proof is a status of the process itself, received after since; a status of a
-// later process on the same instance; or the instance's absence from the list.
+// FinishedWith reports whether the process that ran on the instance is proved to hold
+// no lease of the cell and to have no order in flight for it. The proof is one of: a
+// status of that process, received after since, that reports neither; a status of
+// another process on the instance, received after since; the instance's absence from
+// the list for longer than the list lags.
 func (s *Set) FinishedWith(id instance.ID, process string, cell int, since, now time.Time) bool {
 	if s.Gone(id, now) {
 		return true
 	}
 
-	h, ok := s.members().statuses[id]
-	if !ok || !h.at.After(since) {
+	last, ok := s.members().statuses[id]
+	if !ok || !last.at.After(since) {
 		return false
 	}
 
-	return h.Process != process || h.FinishedWith(cell)
+	return last.Process != process || last.FinishedWith(cell)
 }
 
 // LastStatus returns the last status of a peer and when it was received.
 func (s *Set) LastStatus(id instance.ID) (Status, time.Time, bool) {
-	h, ok := s.members().statuses[id]
+	last, ok := s.members().statuses[id]
 
-	return h.Status, h.at, ok
+	return last.Status, last.at, ok
 }
--- a/internal/fleet/peer/set_test.go
+++ b/internal/fleet/peer/set_test.go
@@ -32,7 +32,7 @@
 }
 
 // TestGone covers a list that lags: an instance counts as gone only when it has been
-// missing for longer than the lag, also if it was never listed.
+// missing for longer than the lag, even if it was never listed.
 func TestGone(t *testing.T) {
 	s := newSet()
 	assert.Assert(t, !s.Gone("x", after(999)), "the list was never read")
@@ -51,8 +51,9 @@
 	assert.Assert(t, !s.Gone("x", after(99)))
 }
 
-// TestSettled lists what proves that a former holder has no order in flight.
-func TestSettled(t *testing.T) {
+// TestFinishedWith checks what counts as proof that a former holder neither holds the
+// cell's lease nor has an order in flight for it.
+func TestFinishedWith(t *testing.T) {
 	taken := after(10)
 	listed := []instance.Instance{{ID: "b", Role: instance.Entry}}
 
@@ -62,14 +63,14 @@
 		list   []instance.Instance
 		want   bool
 	}{
-		"no status":                         {list: listed},
-		"status from before the takeover":   {status: &Status{ID: "b", Process: "p"}, at: after(9), list: listed},
-		"still believes it holds the lease": {status: &Status{ID: "b", Process: "p", Leases: []Lease{{Cell: 3, Token: 1}}}, at: after(11), list: listed},
-		"has an order in flight":            {status: &Status{ID: "b", Process: "p", OrdersInFlight: []int{3}}, at: after(11), list: listed},
-		"has one for another cell":          {status: &Status{ID: "b", Process: "p", OrdersInFlight: []int{4}}, at: after(11), list: listed, want: true},
-		"reports neither lease nor order":   {status: &Status{ID: "b", Process: "p"}, at: after(11), list: listed, want: true},
-		"another process on the instance":   {status: &Status{ID: "b", Process: "q", Leases: []Lease{{Cell: 3}}}, at: after(11), list: listed, want: true},
-		"off the list":                      {want: true},
+		"no status":                       {list: listed},
+		"status from before the takeover": {status: &Status{ID: "b", Process: "p"}, at: after(9), list: listed},
+		"still reports the lease":         {status: &Status{ID: "b", Process: "p", Leases: []Lease{{Cell: 3, Token: 1}}}, at: after(11), list: listed},
+		"has an order in flight":          {status: &Status{ID: "b", Process: "p", OrdersInFlight: []int{3}}, at: after(11), list: listed},
+		"has one for another cell":        {status: &Status{ID: "b", Process: "p", OrdersInFlight: []int{4}}, at: after(11), list: listed, want: true},
+		"reports neither lease nor order": {status: &Status{ID: "b", Process: "p"}, at: after(11), list: listed, want: true},
+		"another process on the instance": {status: &Status{ID: "b", Process: "q", Leases: []Lease{{Cell: 3}}}, at: after(11), list: listed, want: true},
+		"off the list":                    {want: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSet()
--- a/internal/fleet/peer/status.go
+++ b/internal/fleet/peer/status.go
@@ -11,7 +11,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/request"
 )
 
-// Lease is a lease that an instance believes it holds.
+// Lease is a lease that an instance reports as its own. It may have expired.
 type Lease struct {
 	Cell  int
 	Token uint64
--- a/internal/fleet/target/engine.go
+++ b/internal/fleet/target/engine.go
@@ -13,8 +13,8 @@
 // Engine is one model engine. The tests of internal/standin/engine check its
 // contract, against the stand-in in memory and over TCP.
 type Engine interface {
-	// Generate starts a generation. An error of type *NotLoadedError or
-	// *NotReachedError proves that nothing ran.
+	// Generate starts a generation. An error of type *NotLoadedError,
+	// *NotReachedError or *LeavingError proves that nothing ran.
 	Generate(ctx context.Context, g Generation) (Stream, error)
 	// Cancel stops a generation. Cancelling an unknown one succeeds.
 	Cancel(ctx context.Context, requestID string) error
@@ -22,7 +22,7 @@
 	// is not carried out again. An engine that checks fencing tokens refuses an old
 	// one with a *StaleTokenError.
 	Submit(ctx context.Context, o Order) (Inventory, error)
-	// Inventory returns what is loaded now.
+	// Inventory returns the engine's current inventory.
 	Inventory(ctx context.Context) (Inventory, error)
 	// Report returns the engine's load, which lags behind.
 	Report(ctx context.Context) (Report, error)
@@ -91,7 +91,7 @@
 // Unload asks to free a model or an adapter.
 type Unload struct{ Model string }
 
-// ChangeRole asks the engine to change which phase it serves.
+// ChangeRole asks the engine to take another role in serving generations.
 type ChangeRole struct{ Role string }
 
 // RaiseToken asks only that older fencing tokens be refused from now on.
@@ -121,7 +121,8 @@
 	Phase Phase
 }
 
-// Inventory is what an engine reports about itself.
+// Inventory is an engine's description of itself: its incarnation, memory, role and
+// resident models.
 type Inventory struct {
 	// Incarnation changes whenever the engine's process starts anew. What an earlier
 	// incarnation had loaded is gone.
