--- a/internal/customer/limit/limit_test.go
+++ b/internal/customer/limit/limit_test.go
@@ -107,8 +107,8 @@
 	assert.Equal(t, grant("b", 8, 2, 1100*time.Millisecond), 4)
 }
 
-// bench is one entry's shares and a limit owner that may be unreachable.
-type bench struct {
+// fixture is one entry's shares and a limit owner that may be unreachable.
+type fixture struct {
 	Shares
 
 	owner       Owner
@@ -116,42 +116,42 @@
 	unreachable bool
 }
 
-func newBench(p plan.Plan) *bench {
-	b := &bench{plan: p}
-	b.Entries = func() int { return 4 }
-	b.RequestGrant = func(_ context.Context, r Request) (Grant, error) {
-		if b.unreachable {
+func newFixture(p plan.Plan) *fixture {
+	f := &fixture{plan: p}
+	f.Entries = func() int { return 4 }
+	f.RequestGrant = func(_ context.Context, r Request) (Grant, error) {
+		if f.unreachable {
 			return Grant{}, context.DeadlineExceeded
 		}
 
 		r.Entry = "e"
 
-		return b.owner.Grant(b.plan, r, 4, time.Now()), nil
+		return f.owner.Grant(f.plan, r, 4, time.Now()), nil
 	}
 
-	return b
+	return f
 }
 
 func TestConcurrency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(plan.Plan{Name: "p", Concurrency: 16})
+		f := newFixture(plan.Plan{Name: "p", Concurrency: 16})
 
 		admitted := 0
 
 		for range 30 {
-			if _, ok := b.Admit(t.Context(), b.plan); ok {
+			if _, ok := f.Admit(t.Context(), f.plan); ok {
 				admitted++
 			}
 		}
 
 		assert.Equal(t, admitted, 13, "all but the static shares of three others")
 
-		retry, ok := b.Admit(t.Context(), b.plan)
+		retry, ok := f.Admit(t.Context(), f.plan)
 		assert.Assert(t, !ok && retry > 0)
 
-		b.Of("p").Done(0)
+		f.Of("p").Done(0)
 
-		_, ok = b.Admit(t.Context(), b.plan)
+		_, ok = f.Admit(t.Context(), f.plan)
 		assert.Assert(t, ok)
 	})
 }
@@ -161,16 +161,16 @@
 // next owner instead of being refused at once.
 func TestOwnerUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(plan.Plan{Name: "p", Concurrency: 16})
-		b.unreachable = true
+		f := newFixture(plan.Plan{Name: "p", Concurrency: 16})
+		f.unreachable = true
 
-		_, ok := b.Admit(t.Context(), b.plan)
+		_, ok := f.Admit(t.Context(), f.plan)
 		assert.Assert(t, ok)
 
-		_, ok = b.Admit(t.Context(), b.plan)
+		_, ok = f.Admit(t.Context(), f.plan)
 		assert.Assert(t, !ok)
 
-		small := newBench(plan.Plan{Name: "q", Concurrency: 2})
+		small := newFixture(plan.Plan{Name: "q", Concurrency: 2})
 		small.owner.MembershipChanged(time.Now())
 
 		began := time.Now()
@@ -184,19 +184,19 @@
 // requests are admitted than the rate and one burst allow.
 func TestRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(plan.Plan{Name: "p", RequestsPerSecond: 40})
+		f := newFixture(plan.Plan{Name: "p", RequestsPerSecond: 40})
 
 		admitted := 0
 
 		for range 2000 {
-			share := b.Of("p")
-			if v, _ := share.Admit(b.plan, 4, time.Now()); v == Allowed {
+			share := f.Of("p")
+			if v, _ := share.Admit(f.plan, 4, time.Now()); v == Allowed {
 				admitted++
 
 				share.Done(0)
 			}
 
-			b.Renew(t.Context(), plan.Restore(1, []plan.Plan{b.plan}, nil))
+			f.Renew(t.Context(), plan.Restore(1, []plan.Plan{f.plan}, nil))
 			time.Sleep(5 * time.Millisecond)
 		}
 
@@ -207,19 +207,19 @@
 
 func TestTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(plan.Plan{Name: "p", TokensPerMinute: 6000})
-		share := b.Of("p")
+		f := newFixture(plan.Plan{Name: "p", TokensPerMinute: 6000})
+		share := f.Of("p")
 
-		v, _ := share.Admit(b.plan, 1, time.Now())
+		v, _ := share.Admit(f.plan, 1, time.Now())
 		assert.Equal(t, v, Allowed)
 		share.Done(5000)
 
-		v, retry := share.Admit(b.plan, 1, time.Now())
+		v, retry := share.Admit(f.plan, 1, time.Now())
 		assert.Assert(t, v != Allowed)
 		assert.Assert(t, retry > 10*time.Second, "retry after %s", retry)
 		time.Sleep(retry + time.Second)
 
-		v, _ = share.Admit(b.plan, 1, time.Now())
+		v, _ = share.Admit(f.plan, 1, time.Now())
 		assert.Equal(t, v, Allowed)
 	})
 }
--- a/internal/customer/limit/share.go
+++ b/internal/customer/limit/share.go
@@ -67,7 +67,7 @@
 	s.peak = max(s.peak, float64(s.running+1))
 
 	refused := AskOwner
-	if s.shortfall && now.Sub(s.shortAt) < askInterval {
+	if s.shortfall && now.Sub(s.shortAt) < grantRetryInterval {
 		refused = Exhausted
 	}
 
@@ -138,10 +138,10 @@
 	s.recentTokens += float64(tokens)
 }
 
-// Ask returns what to request from the limit owner: the recent use and some
+// NextRequest returns what to request from the limit owner: the recent use and some
 // headroom, so that growing use need not wait for each grant. ok is false when
 // the share is idle.
-func (s *Share) Ask(p plan.Plan, now time.Time) (r Request, ok bool) {
+func (s *Share) NextRequest(p plan.Plan, now time.Time) (r Request, ok bool) {
 	const (
 		headroom = 1.5
 		spare    = 2
--- a/internal/customer/limit/shares.go
+++ b/internal/customer/limit/shares.go
@@ -19,13 +19,13 @@
 	shares sync.Map // shares maps a plan's name to its *Share.
 }
 
-// A request waits for a grant, which is requested every askInterval for up to
-// askTimeout, when this entry's static share is used up and the owner does not
-// answer or does not grant yet. For askInterval after the request of a grant that
-// was smaller than requested, a limit counts as used up.
+// A request waits for a grant, which is requested every grantRetryInterval for up to
+// grantTimeout, when this entry's static share is used up and the owner does not
+// answer or does not grant yet. After a grant that was smaller than requested, the
+// limit counts as used up for grantRetryInterval from the time of that request.
 const (
-	askInterval = 100 * time.Millisecond
-	askTimeout  = GrantTTL + 500*time.Millisecond
+	grantRetryInterval = 100 * time.Millisecond
+	grantTimeout       = GrantTTL + 500*time.Millisecond
 )
 
 // Of returns this entry's share of a plan's limits.
@@ -44,7 +44,7 @@
 // retry.
 func (s *Shares) Admit(ctx context.Context, p plan.Plan) (retryAfter time.Duration, ok bool) {
 	share := s.Of(p.Name)
-	until := time.Now().Add(askTimeout)
+	until := time.Now().Add(grantTimeout)
 
 	for {
 		v, retryAfter := share.Admit(p, s.Entries(), time.Now())
@@ -70,7 +70,7 @@
 			return retryAfter, false
 		}
 
-		time.Sleep(askInterval)
+		time.Sleep(grantRetryInterval)
 	}
 }
 
@@ -78,7 +78,7 @@
 func (s *Shares) refresh(ctx context.Context, p plan.Plan, share *Share) bool {
 	requestedAt := time.Now()
 
-	r, ok := share.Ask(p, requestedAt)
+	r, ok := share.NextRequest(p, requestedAt)
 	if !ok {
 		return false
 	}
--- a/internal/customer/quota/quota_test.go
+++ b/internal/customer/quota/quota_test.go
@@ -23,9 +23,9 @@
 	delegator Delegator
 	owner     Owner
 	running   bool
-	// frozenUntil is when its process resumes. Until cutUntil it is partitioned from
-	// all other entries and uses itself as the owner.
-	frozenUntil, cutUntil time.Time
+	// frozenUntil is when its process resumes. Until partitionedUntil it is partitioned
+	// from all other entries and uses itself as the owner.
+	frozenUntil, partitionedUntil time.Time
 	// choice is the index of the entry that it uses as the owner of all groups when it
 	// is not partitioned.
 	choice int
@@ -60,7 +60,7 @@
 	cost float64
 }
 
-const simulated = "team"
+const teamName = "team"
 
 // choices is the number of entries that may be owners.
 const choices = 3
@@ -80,13 +80,13 @@
 func (f *fleet) runs(e *entry) bool { return e.running && !f.now.Before(e.frozenUntil) }
 
 func (f *fleet) reaches(a, b *entry) bool {
-	return a == b || f.runs(b) && !f.cut(a) && !f.cut(b)
+	return a == b || f.runs(b) && !f.partitioned(a) && !f.partitioned(b)
 }
 
-func (f *fleet) cut(e *entry) bool { return f.now.Before(e.cutUntil) }
+func (f *fleet) partitioned(e *entry) bool { return f.now.Before(e.partitionedUntil) }
 
 func (f *fleet) ownerOf(e *entry) *entry {
-	if f.cut(e) {
+	if f.partitioned(e) {
 		return e
 	}
 
@@ -146,7 +146,7 @@
 
 // consume asks an owner to admit a request of an entry and records it if granted.
 func (f *fleet) consume(e *entry, cost float64) Decision {
-	to, delegated := e.delegator.OwnerOf(SlotOf(GroupOf(simulated), 0), f.now)
+	to, delegated := e.delegator.OwnerOf(SlotOf(GroupOf(teamName), 0), f.now)
 	owner := f.ownerOf(e)
 
 	if delegated {
@@ -161,7 +161,7 @@
 		return Decision{}
 	}
 
-	d := owner.owner.Consume(simulated, f.limit, cost, len(f.entries), f.stamp(owner))
+	d := owner.owner.Consume(teamName, f.limit, cost, len(f.entries), f.stamp(owner))
 	if d.Granted {
 		f.ran = append(f.ran, run{f.now, cost})
 	}
@@ -169,15 +169,15 @@
 	return d
 }
 
-// doubled returns the entries whose share more than one owner may use.
-func (f *fleet) doubled() []instance.ID {
+// delegatedTwice returns the entries whose share more than one owner may use.
+func (f *fleet) delegatedTwice() []instance.ID {
 	var out []instance.ID
 
 	for _, delegator := range f.entries {
 		owners := 0
 
 		for _, e := range f.entries {
-			if until := e.owner.delegations[delegator.id]; until != nil && until[SlotOf(GroupOf(simulated), 0)] > f.stamp(e) {
+			if until := e.owner.delegations[delegator.id]; until != nil && until[SlotOf(GroupOf(teamName), 0)] > f.stamp(e) {
 				owners++
 			}
 		}
@@ -190,20 +190,20 @@
 	return out
 }
 
-// ready returns what all owners together would grant at once.
-func (f *fleet) ready() float64 {
+// grantable returns what all owners together would grant at once.
+func (f *fleet) grantable() float64 {
 	sum := 0.0
 
 	for _, e := range f.entries {
 		e.owner.advance(len(f.entries), f.stamp(e))
-		sum += e.owner.bucket(simulated, f.limit).level
+		sum += e.owner.bucket(teamName, f.limit).level
 	}
 
 	return sum
 }
 
-// worst returns the largest cost that ran within any window.
-func (f *fleet) worst(window time.Duration) float64 {
+// maxInWindow returns the largest cost that ran within any window.
+func (f *fleet) maxInWindow(window time.Duration) float64 {
 	worst, sum, first := 0.0, 0.0, 0
 
 	for _, r := range f.ran {
@@ -251,13 +251,13 @@
 
 			f.injectFaults(r)
 
-			if doubled := f.doubled(); len(doubled) > 0 {
-				t.Fatalf("shares of %v are used by two owners", doubled)
+			if shared := f.delegatedTwice(); len(shared) > 0 {
+				t.Fatalf("shares of %v are used by two owners", shared)
 			}
 
-			// ready advances the owners' state, so it is called only now and then.
-			if r.IntN(30) == 0 && f.ready() > limit.Burst+rounding {
-				t.Fatalf("%.3f would be granted at once, the burst is %.0f", f.ready(), limit.Burst)
+			// grantable advances the owners' state, so it is called only now and then.
+			if r.IntN(30) == 0 && f.grantable() > limit.Burst+rounding {
+				t.Fatalf("%.3f would be granted at once, the burst is %.0f", f.grantable(), limit.Burst)
 			}
 
 			if f.now.Unix()%8 > 3 {
@@ -276,7 +276,7 @@
 		served += len(f.ran)
 
 		most := limit.PerSecond*window.Seconds() + limit.Burst
-		if got := f.worst(window); got > most {
+		if got := f.maxInWindow(window); got > most {
 			t.Fatalf("%.0f ran in a window, the limit is %.0f", got, most)
 		}
 	})
@@ -292,7 +292,7 @@
 	case 2:
 		e.frozenUntil = f.now.Add(time.Duration(100+r.IntN(4000)) * time.Millisecond)
 	case 3, 4:
-		e.cutUntil = f.now.Add(time.Duration(500+r.IntN(4000)) * time.Millisecond)
+		e.partitionedUntil = f.now.Add(time.Duration(500+r.IntN(4000)) * time.Millisecond)
 	case 5, 6:
 		e.choice = r.IntN(choices)
 	case 7, 8:
--- a/internal/customer/team/team.go
+++ b/internal/customer/team/team.go
@@ -1,5 +1,5 @@
-// Package team describes the operators' teams: which keys their requests carry,
-// how urgent they are and how much they may use. It does no I/O.
+// Package team describes the operators' teams: their keys, priorities and limits. It
+// does no I/O.
 package team
 
 import (
@@ -150,7 +150,7 @@
 }
 
 // CheckBursts returns an error for each team whose burst does not allow even one
-// request. Such a team is refused all or nearly all requests, which is seldom
+// request. Such a team is refused all or nearly all requests, which is rarely
 // intended, so the configuration that contains it should be reported.
 func (s *Set) CheckBursts() []error {
 	var out []error
--- a/internal/fleet/inventory/inventory.go
+++ b/internal/fleet/inventory/inventory.go
@@ -165,7 +165,7 @@
 		return
 	}
 
-	if _, waits := r.missing[id]; !waits {
+	if _, retained := r.missing[id]; !retained {
 		r.missing[id] = r.recoveredAt.Add(recoveryGrace)
 	}
 }
--- a/internal/fleet/membership/roll.go
+++ b/internal/fleet/membership/roll.go
@@ -133,9 +133,9 @@
 }
 
 func (l *List) expire(now time.Time) {
-	for id, e := range l.members {
-		if now.Sub(e.lastHeartbeat) > retention && now.Sub(e.listedAt) > retention {
-			l.addTombstone(e, now)
+	for id, s := range l.members {
+		if now.Sub(s.lastHeartbeat) > retention && now.Sub(s.listedAt) > retention {
+			l.addTombstone(s, now)
 			delete(l.members, id)
 
 			l.sorted = nil
@@ -149,12 +149,12 @@
 	}
 }
 
-func (l *List) addTombstone(e *memberState, now time.Time) {
+func (l *List) addTombstone(s *memberState, now time.Time) {
 	if l.tombstones == nil {
 		l.tombstones = make(map[uint64]time.Time)
 	}
 
-	l.tombstones[e.hash] = now
+	l.tombstones[s.hash] = now
 }
 
 // Add adds a member that another entry or a row of the store names. A listed
@@ -190,12 +190,12 @@
 		l.members = make(map[instance.ID]*memberState)
 	}
 
-	e := &memberState{Member: m, hash: processHash(m.Process), listedAt: now}
+	s := &memberState{Member: m, hash: processHash(m.Process), listedAt: now}
 	if m.Leaving {
-		e.Heartbeat = leavingHeartbeat
+		s.Heartbeat = leavingHeartbeat
 	}
 
-	l.members[m.ID] = e
+	l.members[m.ID] = s
 	l.sorted = nil
 }
 
@@ -216,33 +216,33 @@
 
 	l.Add(m, now)
 
-	e := l.members[m.ID]
-	e.lastHeartbeat = now
+	s := l.members[m.ID]
+	s.lastHeartbeat = now
 
 	if m.Leaving {
-		e.Heartbeat, e.Leaving = leavingHeartbeat, true
+		s.Heartbeat, s.Leaving = leavingHeartbeat, true
 	}
 }
 
 // fillIn sets the fields that were unknown when the member was listed.
-func (e *memberState) fillIn(m Member) {
-	if e.Strength == 0 {
-		e.Strength = m.Strength
+func (s *memberState) fillIn(m Member) {
+	if s.Strength == 0 {
+		s.Strength = m.Strength
 	}
 
-	if e.Started.IsZero() {
-		e.Started = m.Started
+	if s.Started.IsZero() {
+		s.Started = m.Started
 	}
 }
 
 // recordHeartbeat records a heartbeat if it is newer.
-func (e *memberState) recordHeartbeat(heartbeat uint64, now time.Time) {
-	if heartbeat <= e.Heartbeat {
+func (s *memberState) recordHeartbeat(heartbeat uint64, now time.Time) {
+	if heartbeat <= s.Heartbeat {
 		return
 	}
 
-	e.Heartbeat, e.lastHeartbeat = heartbeat, now
-	e.Leaving = e.Leaving || heartbeat == leavingHeartbeat
+	s.Heartbeat, s.lastHeartbeat = heartbeat, now
+	s.Leaving = s.Leaving || heartbeat == leavingHeartbeat
 }
 
 // sort rebuilds the sorted members if the list has changed.
@@ -252,27 +252,27 @@
 	}
 
 	l.sorted = append(l.sorted, nil)
-	for _, e := range l.members {
-		l.sorted = append(l.sorted, e)
+	for _, s := range l.members {
+		l.sorted = append(l.sorted, s)
 	}
 
 	slices.SortFunc(l.sorted, func(a, b *memberState) int { return cmp.Compare(l.member(a).ID, l.member(b).ID) })
 
 	h := xxhash.New()
-	for _, e := range l.sorted {
-		_, _ = h.WriteString(l.member(e).Process + " ") // A hash does not fail.
+	for _, s := range l.sorted {
+		_, _ = h.WriteString(l.member(s).Process + " ") // A hash does not fail.
 	}
 
 	l.membersHash = h.Sum64()
 }
 
 // member returns the member that an element of sorted stands for.
-func (l *List) member(e *memberState) *Member {
-	if e == nil {
+func (l *List) member(s *memberState) *Member {
+	if s == nil {
 		return &l.Self
 	}
 
-	return &e.Member
+	return &s.Member
 }
 
 // Digest returns the digest of this list.
@@ -280,8 +280,8 @@
 	l.sort()
 
 	d := Digest{MembersHash: l.membersHash, Heartbeats: make([]uint64, len(l.sorted))}
-	for i, e := range l.sorted {
-		d.Heartbeats[i] = l.member(e).Heartbeat
+	for i, s := range l.sorted {
+		d.Heartbeats[i] = l.member(s).Heartbeat
 	}
 
 	return d
@@ -296,9 +296,9 @@
 		return false
 	}
 
-	for i, e := range l.sorted {
-		if e != nil {
-			e.recordHeartbeat(d.Heartbeats[i], now)
+	for i, s := range l.sorted {
+		if s != nil {
+			s.recordHeartbeat(d.Heartbeats[i], now)
 		}
 	}
 
@@ -309,8 +309,8 @@
 // whose list differs.
 func (l *List) Heartbeats() []ProcessHeartbeat {
 	out := make([]ProcessHeartbeat, 0, len(l.members)+1)
-	for _, e := range l.members {
-		out = append(out, ProcessHeartbeat{e.hash, e.Heartbeat})
+	for _, s := range l.members {
+		out = append(out, ProcessHeartbeat{s.hash, s.Heartbeat})
 	}
 
 	return append(out, ProcessHeartbeat{processHash(l.Self.Process), l.Self.Heartbeat})
@@ -324,8 +324,8 @@
 // time would cost too much.
 func (l *List) ApplyHeartbeats(heartbeats []ProcessHeartbeat, now time.Time) []uint64 {
 	listed := make(map[uint64]*memberState, len(l.members))
-	for _, e := range l.members {
-		listed[e.hash] = e
+	for _, s := range l.members {
+		listed[s.hash] = s
 	}
 
 	var unknown []uint64
@@ -333,9 +333,9 @@
 	for _, p := range heartbeats {
 		_, removed := l.tombstones[p.Process]
 
-		switch e := listed[p.Process]; {
-		case e != nil:
-			e.recordHeartbeat(p.Heartbeat, now)
+		switch s := listed[p.Process]; {
+		case s != nil:
+			s.recordHeartbeat(p.Heartbeat, now)
 		case !removed && p.Process != processHash(l.Self.Process):
 			unknown = append(unknown, p.Process)
 		}
@@ -350,20 +350,20 @@
 		return nil
 	}
 
-	asked := make(map[uint64]bool, len(hashes))
+	requested := make(map[uint64]bool, len(hashes))
 	for _, hash := range hashes {
-		asked[hash] = true
+		requested[hash] = true
 	}
 
 	var out []Member
 
-	for _, e := range l.members {
-		if asked[e.hash] {
-			out = append(out, e.Member)
+	for _, s := range l.members {
+		if requested[s.hash] {
+			out = append(out, s.Member)
 		}
 	}
 
-	if asked[processHash(l.Self.Process)] {
+	if requested[processHash(l.Self.Process)] {
 		out = append(out, l.Self)
 	}
 
@@ -372,23 +372,23 @@
 
 // Alive returns the members with a recent heartbeat that are not leaving.
 func (l *List) Alive(now time.Time) []Member {
-	return l.filter(func(e *memberState) bool { return l.alive(e, now) })
+	return l.filter(func(s *memberState) bool { return l.alive(s, now) })
 }
 
-func (l *List) alive(e *memberState, now time.Time) bool {
+func (l *List) alive(s *memberState, now time.Time) bool {
 	limit := deadAfter
 	if len(l.members) > FullMeshLimit {
 		limit = deadAfterLarge
 	}
 
-	return !e.Leaving && now.Sub(e.lastHeartbeat) < limit
+	return !s.Leaving && now.Sub(s.lastHeartbeat) < limit
 }
 
 // AliveOrNew returns the members that are alive, and those that were listed recently
 // and have not sent a heartbeat yet.
 func (l *List) AliveOrNew(now time.Time) []Member {
-	return l.filter(func(e *memberState) bool {
-		return l.alive(e, now) || !e.Leaving && e.lastHeartbeat.IsZero() && now.Sub(e.listedAt) < deadAfter
+	return l.filter(func(s *memberState) bool {
+		return l.alive(s, now) || !s.Leaving && s.lastHeartbeat.IsZero() && now.Sub(s.listedAt) < deadAfter
 	})
 }
 
@@ -400,8 +400,8 @@
 
 // Get returns a member.
 func (l *List) Get(id instance.ID) (Member, bool) {
-	if e := l.members[id]; e != nil {
-		return e.Member, true
+	if s := l.members[id]; s != nil {
+		return s.Member, true
 	}
 
 	return Member{}, false
@@ -410,9 +410,9 @@
 func (l *List) filter(keep func(*memberState) bool) []Member {
 	out := make([]Member, 0, len(l.members))
 
-	for _, e := range l.members {
-		if keep(e) {
-			out = append(out, e.Member)
+	for _, s := range l.members {
+		if keep(s) {
+			out = append(out, s.Member)
 		}
 	}
 
--- a/internal/fleet/peer/set_test.go
+++ b/internal/fleet/peer/set_test.go
@@ -54,7 +54,7 @@
 // TestFinishedWith checks what counts as proof that a former holder neither holds the
 // cell's lease nor has an order in flight for it.
 func TestFinishedWith(t *testing.T) {
-	taken := after(10)
+	takeover := after(10)
 	listed := []instance.Instance{{ID: "b", Role: instance.Entry}}
 
 	for name, tc := range map[string]struct {
@@ -80,7 +80,7 @@
 				s.Receive(*tc.status, tc.at)
 			}
 
-			assert.Equal(t, s.FinishedWith("b", "p", 3, taken, after(12)), tc.want)
+			assert.Equal(t, s.FinishedWith("b", "p", 3, takeover, after(12)), tc.want)
 		})
 	}
 }
