--- a/internal/customer/quota/lender.go
+++ b/internal/customer/quota/lender.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// minInterval is the shortest time between two delegations to an owner, and
-	// intervalPerEntry the time added for each entry, so that the work of an owner
-	// is bounded. Delegations are short, because what is delegated to an owner that
+	// minInterval is the shortest time between two rounds of delegations. With many
+	// entries the interval is intervalPerEntry for each of them, so that the work of
+	// an owner is bounded. Delegations are short, because what is delegated to an owner that
 	// crashes is unavailable until they expire.
 	minInterval      = 250 * time.Millisecond
 	intervalPerEntry = 2 * time.Millisecond
