--- a/internal/customer/limit/limit_test.go
+++ b/internal/customer/limit/limit_test.go
@@ -33,24 +33,24 @@
 		var owner Owner
 
 		clock := now.Add(time.Hour)
-		held := make(map[instance.ID]Amount)
+		granted := make(map[instance.ID]Amount)
 		until := make(map[instance.ID]time.Time)
 
-		for range rapid.IntRange(1, 60).Draw(t, "asks") {
+		for range rapid.IntRange(1, 60).Draw(t, "requests") {
 			clock = clock.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "pause")) * time.Millisecond)
 			id := instance.ID(fmt.Sprint("e", rapid.IntRange(0, entries-1).Draw(t, "entry")))
 
 			running := 0
 			if clock.Before(until[id]) {
-				running = rapid.IntRange(0, held[id].Concurrency).Draw(t, "running")
+				running = rapid.IntRange(0, granted[id].Concurrency).Draw(t, "running")
 			}
 
 			g := owner.Grant(p, Request{Entry: id, Plan: "p", Running: running, Demand: Amount{
-				Rate:        rapid.Float64Range(0, 600).Draw(t, "wantRate"),
-				Concurrency: rapid.IntRange(0, 100).Draw(t, "wantConcurrency"),
-				Tokens:      rapid.Float64Range(0, 2000).Draw(t, "wantTokens"),
+				Rate:        rapid.Float64Range(0, 600).Draw(t, "rate demanded"),
+				Concurrency: rapid.IntRange(0, 100).Draw(t, "concurrency demanded"),
+				Tokens:      rapid.Float64Range(0, 2000).Draw(t, "tokens demanded"),
 			}}, entries, clock)
-			held[id], until[id] = g.Amount, clock.Add(g.TTL)
+			granted[id], until[id] = g.Amount, clock.Add(g.TTL)
 
 			var sum Amount
 
@@ -59,7 +59,7 @@
 
 				share := static
 				if clock.Before(until[e]) {
-					share = held[e]
+					share = granted[e]
 				}
 
 				sum.Rate += share.Rate
@@ -82,11 +82,11 @@
 	var owner Owner
 
 	p := plan.Plan{Name: "p", Concurrency: 10}
-	a := Request{Entry: "e", Plan: "p", Demand: Amount{Concurrency: 5}}
+	r := Request{Entry: "e", Plan: "p", Demand: Amount{Concurrency: 5}}
 
 	owner.MembershipChanged(now)
-	assert.Equal(t, owner.Grant(p, a, 2, now.Add(GrantTTL)).TTL, time.Duration(0))
-	assert.Equal(t, owner.Grant(p, a, 2, now.Add(GrantTTL+clockMargin)).Concurrency, 5)
+	assert.Equal(t, owner.Grant(p, r, 2, now.Add(GrantTTL)).TTL, time.Duration(0))
+	assert.Equal(t, owner.Grant(p, r, 2, now.Add(GrantTTL+clockMargin)).Concurrency, 5)
 }
 
 // TestGrantsFollowDemand checks that an idle entry's part is granted to a busy one and
@@ -95,20 +95,20 @@
 	var owner Owner
 
 	p := plan.Plan{Name: "p", Concurrency: 8}
-	ask := func(id string, want, running int, at time.Duration) int {
-		a := Request{Entry: instance.ID(id), Plan: "p", Demand: Amount{Concurrency: want}, Running: running}
+	grant := func(id string, demand, running int, at time.Duration) int {
+		r := Request{Entry: instance.ID(id), Plan: "p", Demand: Amount{Concurrency: demand}, Running: running}
 
-		return owner.Grant(p, a, 2, now.Add(time.Hour+at)).Concurrency
+		return owner.Grant(p, r, 2, now.Add(time.Hour+at)).Concurrency
 	}
 
-	assert.Equal(t, ask("a", 8, 0, 0), 7, "all but the static share of b")
-	assert.Equal(t, ask("b", 8, 0, 500*time.Millisecond), 1, "the rest")
-	assert.Equal(t, ask("a", 8, 2, time.Second), 4, "half, since b asks for as much")
-	assert.Equal(t, ask("b", 8, 2, 1100*time.Millisecond), 4)
+	assert.Equal(t, grant("a", 8, 0, 0), 7, "all but the static share of b")
+	assert.Equal(t, grant("b", 8, 0, 500*time.Millisecond), 1, "the rest")
+	assert.Equal(t, grant("a", 8, 2, time.Second), 4, "half, since b demands as much")
+	assert.Equal(t, grant("b", 8, 2, 1100*time.Millisecond), 4)
 }
 
-// bench is one entry's shares and a limit owner that may be unreachable.
-type bench struct {
+// fixture is one entry's shares and a limit owner that may be unreachable.
+type fixture struct {
 	Shares
 
 	owner       Owner
@@ -116,42 +116,42 @@
 	unreachable bool
 }
 
-func newBench(p plan.Plan) *bench {
-	b := &bench{plan: p}
-	b.Entries = func() int { return 4 }
-	b.RequestGrant = func(_ context.Context, a Request) (Grant, error) {
-		if b.unreachable {
+func newFixture(p plan.Plan) *fixture {
+	f := &fixture{plan: p}
+	f.Entries = func() int { return 4 }
+	f.RequestGrant = func(_ context.Context, r Request) (Grant, error) {
+		if f.unreachable {
 			return Grant{}, context.DeadlineExceeded
 		}
 
-		a.Entry = "e"
+		r.Entry = "e"
 
-		return b.owner.Grant(b.plan, a, 4, time.Now()), nil
+		return f.owner.Grant(f.plan, r, 4, time.Now()), nil
 	}
 
-	return b
+	return f
 }
 
 func TestConcurrency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(plan.Plan{Name: "p", Concurrency: 16})
+		f := newFixture(plan.Plan{Name: "p", Concurrency: 16})
 
 		admitted := 0
 
 		for range 30 {
-			if _, ok := b.Admit(t.Context(), b.plan); ok {
+			if _, ok := f.Admit(t.Context(), f.plan); ok {
 				admitted++
 			}
 		}
 
 		assert.Equal(t, admitted, 13, "all but the static shares of three others")
 
-		retry, ok := b.Admit(t.Context(), b.plan)
+		retry, ok := f.Admit(t.Context(), f.plan)
 		assert.Assert(t, !ok && retry > 0)
 
-		b.Of("p").Done(0)
+		f.Of("p").Done(0)
 
-		_, ok = b.Admit(t.Context(), b.plan)
+		_, ok = f.Admit(t.Context(), f.plan)
 		assert.Assert(t, ok)
 	})
 }
@@ -161,16 +161,16 @@
 // next owner instead of being refused at once.
 func TestOwnerUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(plan.Plan{Name: "p", Concurrency: 16})
-		b.unreachable = true
+		f := newFixture(plan.Plan{Name: "p", Concurrency: 16})
+		f.unreachable = true
 
-		_, ok := b.Admit(t.Context(), b.plan)
+		_, ok := f.Admit(t.Context(), f.plan)
 		assert.Assert(t, ok)
 
-		_, ok = b.Admit(t.Context(), b.plan)
+		_, ok = f.Admit(t.Context(), f.plan)
 		assert.Assert(t, !ok)
 
-		small := newBench(plan.Plan{Name: "q", Concurrency: 2})
+		small := newFixture(plan.Plan{Name: "q", Concurrency: 2})
 		small.owner.MembershipChanged(time.Now())
 
 		began := time.Now()
@@ -184,19 +184,19 @@
 // requests are admitted than the rate and one burst allow.
 func TestRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(plan.Plan{Name: "p", RequestsPerSecond: 40})
+		f := newFixture(plan.Plan{Name: "p", RequestsPerSecond: 40})
 
 		admitted := 0
 
 		for range 2000 {
-			share := b.Of("p")
-			if v, _ := share.Admit(b.plan, 4, time.Now()); v == Allowed {
+			share := f.Of("p")
+			if v, _ := share.Admit(f.plan, 4, time.Now()); v == Allowed {
 				admitted++
 
 				share.Done(0)
 			}
 
-			b.Renew(t.Context(), plan.Restore(1, []plan.Plan{b.plan}, nil))
+			f.Renew(t.Context(), plan.Restore(1, []plan.Plan{f.plan}, nil))
 			time.Sleep(5 * time.Millisecond)
 		}
 
@@ -207,19 +207,19 @@
 
 func TestTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(plan.Plan{Name: "p", TokensPerMinute: 6000})
-		share := b.Of("p")
+		f := newFixture(plan.Plan{Name: "p", TokensPerMinute: 6000})
+		share := f.Of("p")
 
-		v, _ := share.Admit(b.plan, 1, time.Now())
+		v, _ := share.Admit(f.plan, 1, time.Now())
 		assert.Equal(t, v, Allowed)
 		share.Done(5000)
 
-		v, retry := share.Admit(b.plan, 1, time.Now())
+		v, retry := share.Admit(f.plan, 1, time.Now())
 		assert.Assert(t, v != Allowed)
 		assert.Assert(t, retry > 10*time.Second, "retry after %s", retry)
 		time.Sleep(retry + time.Second)
 
-		v, _ = share.Admit(b.plan, 1, time.Now())
+		v, _ = share.Admit(f.plan, 1, time.Now())
 		assert.Equal(t, v, Allowed)
 	})
 }
