--- a/internal/serving/claim/claim.go
+++ b/internal/serving/claim/claim.go
@@ -103,7 +103,8 @@
 }
 
 // Acquire claims the key. After an error the request must not be sent: its claim
-// is unconfirmed, or the key is claimed already and the outcome could not be read.
+// is unconfirmed, or the key was claimed already and the outcome of that claim
+// could not be read or the claim was withdrawn meanwhile (WithdrawnError).
 func (r *Registry) Acquire(ctx context.Context, key, digest string) (Outcome, error) {
 	row := record.Claim{
 		Digest:  digest,
@@ -244,9 +245,9 @@
 )
 
 // withdrawUnconfirmed deletes a claim whose write may take effect late. It
-// returns after it has deleted the claim, when it finds a row of another write,
-// after the row was absent for absenceToStop while the store answered, or after
-// withdrawTimeout.
+// returns after it has deleted the claim, when it finds a row of another write or
+// one that cannot be decoded, after the row was absent for absenceToStop while the
+// store answered, or after withdrawTimeout.
 func (r *Registry) withdrawUnconfirmed(key, writeID string) {
 	ctx, cancel := context.WithTimeout(context.Background(), withdrawTimeout)
 	defer cancel()
@@ -285,9 +286,9 @@
 // Retention is how long a claim is kept after it was made.
 const Retention = 24 * time.Hour
 
-// Sweep deletes claims older than Retention. It scans at most limit claims whose
-// keys are greater than after, and returns the value of after for the next call,
-// or "" at the end.
+// Sweep deletes claims older than Retention, and before them the objects that
+// hold their answers. It scans at most limit claims whose keys are greater than
+// after, and returns the value of after for the next call, or "" at the end.
 func (r *Registry) Sweep(ctx context.Context, after string, limit int, now time.Time) (string, error) {
 	rows, err := r.Table.Scan(ctx, record.ClaimsPrefix, after, limit)
 	if err != nil {
--- a/internal/serving/claim/claim_test.go
+++ b/internal/serving/claim/claim_test.go
@@ -82,10 +82,10 @@
 	}
 }
 
-// TestTableDown claims a key during an outage of the store. The claim cannot be
+// TestStoreDown claims a key during an outage of the store. The claim cannot be
 // confirmed, so the request must not be sent. The write may still take effect
 // later; it must not block the client's retries for ever.
-func TestTableDown(t *testing.T) {
+func TestStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p platform.Platform
 
--- a/internal/serving/dispatch/dispatch.go
+++ b/internal/serving/dispatch/dispatch.go
@@ -91,8 +91,8 @@
 	running atomic.Int64
 }
 
-// replicaUse counts one replica's requests in flight, and those served since
-// the last report.
+// replicaUse counts one replica's requests in flight, and the attempts that ended
+// there since the last report, failed ones included.
 type replicaUse struct {
 	running atomic.Int64
 	served  atomic.Int64
--- a/internal/serving/dispatch/dispatch_test.go
+++ b/internal/serving/dispatch/dispatch_test.go
@@ -372,8 +372,8 @@
 	})
 }
 
-// TestPlanRemoved checks that queued requests are refused at once when the
-// lists no longer allow them.
+// TestPlanRemoved checks that a queued request is refused at once, as not run,
+// when RefuseWaiting is called because its plan was removed.
 func TestPlanRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newFixture(t, 0)
--- a/internal/serving/dispatch/failure.go
+++ b/internal/serving/dispatch/failure.go
@@ -142,10 +142,11 @@
 
 const probeTimeout = 500 * time.Millisecond
 
-// probe reports over a new connection whether the target is still the process
-// to which the request was sent. It compares with the incarnation recorded at
-// that time, because the routing table may by now contain that of the target's
-// next process.
+// probe requests the target's inventory over a new connection, and reports
+// whether the target is still the process to which the request was sent. It
+// compares with the incarnation recorded at that time, because the routing table
+// may by now contain that of the target's next process. If none was recorded, any
+// inventory is sufficient.
 func (f *forwarder) probe(ctx context.Context, t *router.Target) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/serving/dispatch/forwarder.go
+++ b/internal/serving/dispatch/forwarder.go
@@ -285,7 +285,9 @@
 	return Result{Tokens: f.checker.Next(), FirstToken: f.firstToken, Cold: f.cold}
 }
 
-// fail turns the last error into the final answer to the request and logs it.
+// fail records in the timeline how the request ended, and returns a refusal that
+// states whether the request ran. If the client has disconnected or reads too
+// slowly, fail returns err instead.
 func (f *forwarder) fail(err error) error {
 	refusal, ok := asRefusal(err)
 
--- a/internal/serving/dispatch/migrate.go
+++ b/internal/serving/dispatch/migrate.go
@@ -19,7 +19,7 @@
 
 // shouldMigrate reports whether the answer should be resumed on another target:
 // its target is leaving, enough of the answer is still to come, and another
-// target has the model.
+// target that is not leaving has the model.
 func (f *forwarder) shouldMigrate() bool {
 	if !f.last.Leaving() || f.req.MaxTokens-f.checker.Next() < minTokensToMigrate {
 		return false
--- a/internal/serving/dispatch/modelqueue.go
+++ b/internal/serving/dispatch/modelqueue.go
@@ -136,8 +136,9 @@
 	return g.target, cold, nil
 }
 
-// tryImmediately chooses a target without queueing. It returns nil if other
-// requests are queued, so that none of them is overtaken.
+// tryImmediately chooses a target without queueing and counts the request on it.
+// It returns nil if no target accepts the request, or if other requests are
+// queued, so that none of them is overtaken.
 func (m *modelQueue) tryImmediately(q *router.Query) *router.Target {
 	m.mu.Lock()
 	waiting := m.q.Len()
@@ -210,9 +211,9 @@
 	}
 
 	// Customers take turns, so a customer with few queued requests is served
-	// before the rest of longer queues. For each customer, at most as many
-	// requests are therefore counted as the new request's customer has queued,
-	// including the new request.
+	// before the rest of longer queues. Let k be the number of requests of the
+	// new request's customer, including the new one. Therefore at most k
+	// requests for each customer with queued requests are assumed to start first.
 	ahead := min(n, m.q.Customers()*(m.q.Waiting(it.Customer)+1))
 
 	return time.Now().Add(time.Duration(ahead) * m.startRate.gap).After(it.Deadline)
--- a/internal/serving/queue/queue.go
+++ b/internal/serving/queue/queue.go
@@ -38,8 +38,8 @@
 	Limit int
 
 	byCustomer map[string]*customerQueue[T]
-	// virtualTime is the start tag of the customer served last. It does not
-	// decrease while the queue is not empty.
+	// virtualTime is the greatest start tag at which a customer was served since
+	// the queue was last empty. It is reset to zero when the queue becomes empty.
 	virtualTime float64
 	// idleTags keeps the start tags of customers without queued requests. Each
 	// is greater than virtualTime when it is added.
@@ -98,17 +98,17 @@
 	return 0
 }
 
-// Push enqueues it. If the queue is full, a request of the customer with the most
+// Push enqueues item. If the queue is full, a request of the customer with the most
 // queued requests is displaced: the one with the latest deadline, which Push
 // returns. This happens only if that customer has more queued requests than the
 // new request's customer, counting the new request; otherwise Push returns a
 // *FullError. A customer that floods the queue can therefore not keep others out.
-func (q *Queue[T]) Push(it *Item[T]) (*Item[T], error) {
+func (q *Queue[T]) Push(item *Item[T]) (*Item[T], error) {
 	var displaced *Item[T]
 
 	if q.Limit > 0 && q.length >= q.Limit {
 		longest := q.longest()
-		if q.Waiting(it.Customer)+1 >= longest.Len() {
+		if q.Waiting(item.Customer)+1 >= longest.Len() {
 			return nil, &FullError{Waiting: q.length}
 		}
 
@@ -116,7 +116,7 @@
 		q.Remove(displaced)
 	}
 
-	q.add(it)
+	q.add(item)
 
 	return displaced, nil
 }
@@ -206,16 +206,16 @@
 	return queues
 }
 
-// Remove removes it from the queue. It reports whether it was still queued.
-func (q *Queue[T]) Remove(it *Item[T]) bool {
-	c := it.owner
+// Remove removes item from the queue and reports whether it was still queued.
+func (q *Queue[T]) Remove(item *Item[T]) bool {
+	c := item.owner
 	if c == nil {
 		return false
 	}
 
-	heap.Remove(c, it.index)
+	heap.Remove(c, item.index)
 
-	it.owner = nil
+	item.owner = nil
 	q.length--
 
 	if c.Len() == 0 {
@@ -226,9 +226,10 @@
 }
 
 // removeCustomer removes a customer without queued requests, but keeps its tag
-// while that is greater than the virtual time. Otherwise a customer that sends
-// each request only after its last one was served would always restart at the
-// virtual time and starve customers with queued requests.
+// while the tag is greater than the virtual time and other requests are queued.
+// Without the kept tag, a customer that sends each request only after its last
+// one was served would always restart at the virtual time and starve customers
+// with queued requests.
 func (q *Queue[T]) removeCustomer(c *customerQueue[T]) {
 	delete(q.byCustomer, c.customer)
 
--- a/internal/serving/queue/queue_test.go
+++ b/internal/serving/queue/queue_test.go
@@ -142,7 +142,7 @@
 					n.remove(it)
 
 					if !q.Remove(it) || q.Remove(it) {
-						t.Fatal("an item is removed exactly once")
+						t.Fatal("Remove failed, or removed an item twice")
 					}
 				}
 			}
@@ -160,7 +160,7 @@
 
 	if it == nil {
 		if len(n.items) > 0 {
-			t.Fatal("nothing to pop")
+			t.Fatal("Pop returned nil although requests are queued")
 		}
 
 		return
--- a/internal/serving/request/request.go
+++ b/internal/serving/request/request.go
@@ -22,9 +22,13 @@
 	Prompt   string
 	// MaxTokens is positive.
 	MaxTokens int
-	Priority  int
-	Deadline  time.Time
-	Arrived   time.Time
+	// Priority is higher for more urgent requests. The customer's share of a
+	// model's queue is proportional to 1 + Priority, and engines serve higher
+	// priorities first. route.Route.Priority is the opposite: its 0 is the most
+	// urgent.
+	Priority int
+	Deadline time.Time
+	Arrived  time.Time
 	// Goal is the time until which a first token is on time. Zero means that
 	// there is no goal.
 	Goal time.Time
--- a/internal/serving/router/choose.go
+++ b/internal/serving/router/choose.go
@@ -25,8 +25,9 @@
 }
 
 const (
-	// sampleSize is the number of targets that are compared for one request. A
-	// larger sample makes the choice slower and hardly better.
+	// sampleSize is the maximum number of targets that are compared for one
+	// request, unless none of them accepts it. A larger sample makes the choice
+	// slower and hardly better.
 	sampleSize = 8
 	// defaultTimeToFirstToken, divided by the target's speed, is used until a
 	// time to first token of the target is known.
@@ -46,11 +47,12 @@
 }
 
 // Choose returns the candidate with the lowest estimated time to first token,
-// or nil if no target accepts the request now. The first candidate is the
-// rendezvous choice of the affinity, if one is set. The others are drawn at
-// random, so that entries with the same report spread their requests. If no
-// sampled candidate accepts the request, Choose returns the first target found
-// that does.
+// or nil if no target accepts the request now. If there are at most sampleSize
+// targets, all are candidates. Otherwise the candidates are the rendezvous choice
+// of the affinity, if one is set, and sampleSize-1 targets drawn at random, some
+// perhaps twice, so that entries with the same report spread their requests. If
+// none of these accepts the request, Choose returns the first target found that
+// does.
 //
 // targets must come from a Table; Choose does not change it. Choose does not
 // allocate.
@@ -114,7 +116,8 @@
 }
 
 // rendezvousTarget returns the rendezvous hash choice among at most sampleSize
-// consecutive targets. The index of the first depends only on the affinity.
+// consecutive targets. The index of the first is a hash of the affinity modulo
+// the number of targets.
 func rendezvousTarget(targets []*Target, affinity string) *Target {
 	n := len(targets)
 	start := int(instance.Score(affinity, "") % uint64(n)) //nolint:gosec // Below n.
@@ -192,13 +195,16 @@
 }
 
 // AnyUsable reports whether any of the targets is neither leaving nor recorded as
-// dead. Full, ejected and unreachable (Down) targets count as usable.
+// dead. Full, ejected and unreachable (Down) targets, and those without a report,
+// count as usable.
 func AnyUsable(targets []*Target) bool {
 	return slices.ContainsFunc(targets, func(t *Target) bool { return !t.Leaving() && !t.Dead() })
 }
 
-// StateCounts counts the targets that hold a model and, by reason, those that
-// accept no request.
+// StateCounts counts the targets that hold a model and those of them that accept
+// no request. Each of the latter is counted once, by the first that applies of
+// Leaving, Dead, Ejected and Full. Dead includes unreachable (Down) targets and
+// those without a report.
 type StateCounts struct {
 	Targets, Full, Leaving, Dead, Ejected int
 }
@@ -238,10 +244,11 @@
 const headroom = 1.25
 
 // window returns how many requests this entry may have on the target: an even
-// share of the slots, or what it had at the last report plus a share of the
-// slots that were free then, whichever is more. The report lags, and all entries
-// route by the same one. Each entry therefore assumes that others use their
-// shares too; otherwise they would overfill the target together.
+// share of the slots, or what it had when the last new count of running requests
+// was applied plus a share of the slots that are free by the last report,
+// whichever is more. headroom is included in the slots. The report lags, and all
+// entries route by the same one. Each entry therefore assumes that others use
+// their shares too; otherwise they would overfill the target together.
 //
 // On a full target an entry may have only its even share, which is zero if there
 // are more entries than slots. With one request from every entry, on top of those
@@ -260,13 +267,15 @@
 		return int64(evenShare)
 	}
 
-	return max(int64(evenShare), t.inFlightAtReport.Load()+t.shareOfFree(free, entries, competitors(info, entries, q.Waiting)))
+	return max(int64(evenShare), t.inFlightAtCount.Load()+t.shareOfFree(free, entries, competitors(info, entries, q.Waiting)))
 }
 
 // maxCompetitors is the number of entries that are assumed to send to the same
-// target before the next report, as long as no request is queued on this entry.
-// Between two reports a busy target gets requests from a few entries, however
-// many entries there are.
+// target before the next report while no request is queued on this entry, unless
+// there are fewer entries. Between two reports a busy target gets requests from a
+// few entries, however many entries there are. If requests are queued here and
+// the report states how many entries have queued requests, maxCompetitors is the
+// lower bound of that number.
 //
 // If each of many entries assumed that all others use their shares of a target's
 // slots, it could have one request there at a time, and a second request would
@@ -293,11 +302,12 @@
 	}
 }
 
-// shareOfFree returns this entry's share of a target's free slots if the number
-// of entries given by competing compete for them. If there are more entries than
-// maxCompetitors, the share is rounded up or down by a random number that is
-// drawn with each new count of running requests, so that chance distributes the
-// remainder of the division.
+// shareOfFree returns this entry's share of a target's free slots, for which
+// competing entries compete. With at most maxCompetitors entries, the slots are
+// divided by entries and rounded down. With more, they are divided by competing,
+// and the share is rounded up or down by a random number that is drawn with each
+// new count of running requests, so that chance distributes the remainder of the
+// division.
 func (t *Target) shareOfFree(free, entries, competing int) int64 {
 	if entries <= maxCompetitors {
 		return int64(free / entries)
@@ -306,11 +316,12 @@
 	return int64(float64(free)/float64(competing) + math.Float64frombits(t.remainderDraw.Load()))
 }
 
-// estimate returns the predicted time to first token in nanoseconds: the
-// observed time on an idle target, multiplied by a factor for the load. The load
-// is what the last report states plus what this entry has added since, counted
-// once for each of up to maxCompetitors entries, and at least this entry's
-// requests in flight.
+// estimate returns the predicted time to first token in nanoseconds: the time
+// observed, converted to an idle target, or a default while none is known,
+// multiplied by a factor for the load. The load is what the last report states
+// plus what this entry has added since the last new count of running requests,
+// counted once for each of up to maxCompetitors entries, and at least this
+// entry's requests in flight.
 func (t *Target) estimate(q *Query) float64 {
 	info := t.info.Load()
 
@@ -319,7 +330,7 @@
 		first = float64(defaultTimeToFirstToken) / max(0.1, info.Speed) //nolint:mnd // Guards a division.
 	}
 
-	added := float64(t.inFlight.Load()-t.inFlightAtReport.Load()) * float64(max(1, min(q.Entries, maxCompetitors)))
+	added := float64(t.inFlight.Load()-t.inFlightAtCount.Load()) * float64(max(1, min(q.Entries, maxCompetitors)))
 	load := max(float64(t.inFlight.Load()), float64(info.Running+info.Waiting)+added)
 
 	return first * (1 + load/float64(max(1, info.Slots)))
@@ -394,9 +405,11 @@
 	at          time.Time
 }
 
-// MarkDead records that an incarnation of the target was found dead at now. No
-// requests are sent to it until a new incarnation or a later report appears.
-// MarkDead returns false if the death is already recorded.
+// MarkDead records that an incarnation of the target was found dead at now. The
+// target is not chosen until a new incarnation, or a report of this one made at
+// least deathOverride later, is published. MarkDead returns false if the death is
+// already recorded and no such report has been published, or if another call
+// records a death at the same time.
 func (t *Target) MarkDead(incarnation string, now time.Time) bool {
 	old := t.dead.Load()
 	if old != nil && old.incarnation == incarnation && t.Dead() {
@@ -406,19 +419,22 @@
 	return t.dead.CompareAndSwap(old, &deathRecord{incarnation: incarnation, at: now})
 }
 
-// Dead reports whether the target's present incarnation is recorded as dead.
+// Dead reports whether the target's present incarnation is recorded as dead. It
+// returns false if there is no report of the target.
 func (t *Target) Dead() bool {
 	info := t.info.Load()
 
 	return info != nil && t.isDead(info)
 }
 
-// deathOverride is how long after a recorded death a report must have been made
-// to show that the target is alive.
+// deathOverride is the least time after a recorded death at which a report of the
+// same incarnation must have been made to count as proof that the target is
+// alive.
 const deathOverride = 500 * time.Millisecond
 
 // isDead reports whether the incarnation in info is recorded as dead and the
-// lease holder has published no later report of it.
+// last published report was made less than deathOverride after the recorded
+// death, or before it.
 func (t *Target) isDead(info *TargetInfo) bool {
 	d := t.dead.Load()
 	if d == nil || d.incarnation != info.Incarnation {
--- a/internal/serving/router/table.go
+++ b/internal/serving/router/table.go
@@ -98,9 +98,9 @@
 	info atomic.Pointer[TargetInfo]
 	// reportedAt is when info was measured, in nanoseconds since 1970.
 	reportedAt atomic.Int64
-	// inFlightAtReport is the value of inFlight when the last new count of
+	// inFlightAtCount is the value of inFlight when the last new count of
 	// running requests was applied.
-	inFlightAtReport atomic.Int64
+	inFlightAtCount atomic.Int64
 	// remainderDraw holds the bits of a random float64 in [0, 1) that is drawn
 	// with each new count of running requests.
 	remainderDraw atomic.Uint64
@@ -314,8 +314,8 @@
 	return next
 }
 
-// clearCell removes all replicas of the cell, and those of its targets that the
-// complete snapshot s does not list.
+// clearCell removes all replicas of the cell. It also removes the cell's targets
+// that the complete snapshot s does not list.
 func (v *version) clearCell(s *Snapshot, state cellState) {
 	listed := make(map[instance.ID]bool, len(s.Targets))
 	for _, info := range s.Targets {
@@ -361,14 +361,14 @@
 	t.reportedAt.Store(now.Add(-info.ReportAge).UnixNano())
 
 	// Requests sent since the last count are not included in it. If each
-	// publication of the same count reset inFlightAtReport, entries could use the
+	// publication of the same count reset inFlightAtCount, entries could use the
 	// target's free slots again each time. After a power loss a few targets would
 	// then get all requests of a model until there is a new count.
 	if old != nil && info.CountID != 0 && info.CountID == old.CountID {
 		return
 	}
 
-	t.inFlightAtReport.Store(t.inFlight.Load())
+	t.inFlightAtCount.Store(t.inFlight.Load())
 	t.remainderDraw.Store(math.Float64bits(rand.Float64())) //nolint:gosec // No secret.
 }
 
