--- a/internal/placement/holder/confirm.go
+++ b/internal/placement/holder/confirm.go
@@ -25,7 +25,8 @@
 
 // confirmLoads asks engines whether their loads from the weight store have
 // ended. Entries send requests for a model only after its engine has confirmed
-// the end of the load. The caller holds the lock.
+// the end of the load, or once maxLoadFactor times its planned duration has
+// passed. The caller holds the lock.
 //
 // When many targets start empty, the weight store shares its bandwidth among
 // their loads. Its capacity is configured nowhere and only estimated, so loads
@@ -55,7 +56,7 @@
 // confirmLoad requests a report and checks whether a load from the weight
 // store has ended.
 func (h *Holder) confirmLoad(ctx context.Context, eng *trackedEngine) {
-	r, err := h.report(ctx, eng)
+	r, err := h.requestReport(ctx, eng)
 
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/placement/holder/copies.go
+++ b/internal/placement/holder/copies.go
@@ -51,9 +51,10 @@
 
 // recordLoad records a load that ends at ready. The load leaves a copy on disk
 // and one in host memory. If the copies in host memory exceed e.HostMB, those
-// loaded longest ago are evicted.
+// loaded longest ago are removed from the record, down to one, since the engine
+// evicts them.
 //
-// Without the eviction a load would be predicted to come from host memory
+// Without the removal a load would be predicted to come from host memory
 // although its copy was evicted since the last row, and requests would be sent
 // before the model is loaded.
 func (lc *localCopies) recordLoad(model string, e *route.Engine, ready time.Time) {
--- a/internal/placement/holder/decide.go
+++ b/internal/placement/holder/decide.go
@@ -26,7 +26,8 @@
 	swap.Demand
 }
 
-// splitKey splits a key into service, model and adapter.
+// splitKey splits a key, service/model or service/model/adapter, into its
+// parts. adapter is empty if the key has none.
 func splitKey(key string) (service, model, adapter string) {
 	service, rest, _ := strings.Cut(key, "/")
 	model, adapter, _ = strings.Cut(rest, "/")
@@ -59,7 +60,7 @@
 	}
 }
 
-// decide runs one round of decisions while the lease is valid.
+// decide runs one round of decisions if the lease is valid.
 func (h *Holder) decide(ctx context.Context) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -69,7 +70,7 @@
 		return
 	}
 
-	h.sync(now)
+	h.applyTargetList(now)
 	h.confirmLoads(ctx, now)
 	h.shortRates.decay(now)
 	h.longRates.decay(now)
@@ -212,7 +213,7 @@
 // postponeLoad delays the expected end of a load that the engine has not yet
 // accepted.
 //
-// On a busy target an unload waits for the running requests of its model.
+// On a target with running requests, an unload waits for those of its model.
 // Meanwhile entries must not send requests for the next model, whose load has
 // not started.
 func (eng *trackedEngine) postponeLoad(now time.Time) {
@@ -225,8 +226,8 @@
 // for the time until the engine accepts its order.
 const unacceptedMargin = 300 * time.Millisecond
 
-// orderTime is the least time assumed until an engine that accepts no orders
-// accepts them again, such as during an unload or a request for a report.
+// orderTime is the least time assumed until an engine that accepts no orders,
+// for example during an unload or a request for a report, accepts them again.
 const orderTime = 300 * time.Millisecond
 
 // sumByModel sums the demand for a service's models and their adapters, by
--- a/internal/placement/holder/delta.go
+++ b/internal/placement/holder/delta.go
@@ -40,8 +40,8 @@
 	Removed []instance.ID
 }
 
-// EngineCounts has the number of a target's running requests and the number of
-// entries with requests queued for it.
+// EngineCounts has the counts of a target's EngineState, Running and
+// WaitingEntries.
 type EngineCounts struct {
 	Target                  instance.ID
 	Running, WaitingEntries int
--- a/internal/placement/holder/down_test.go
+++ b/internal/placement/holder/down_test.go
@@ -78,7 +78,8 @@
 }
 
 // TestSuspicionNeedsConfirmation guards against a target that is marked as
-// down because one entry, or the holder itself, does not reach it.
+// down because only one entry, or only the holder and its own entry, does not
+// reach it.
 func TestSuspicionNeedsConfirmation(t *testing.T) {
 	for name, fault := range map[string]func(cl *cluster){
 		"one entry": func(cl *cluster) { cl.reportUnreachable("e1", "w0") },
--- a/internal/placement/holder/feed.go
+++ b/internal/placement/holder/feed.go
@@ -14,7 +14,7 @@
 	// tried.
 	initialCapacity = 4
 	capacityStep    = 2
-	// The store counts as overloaded when a finished load took at least
+	// The weight store counts as overloaded when a finished load took at least
 	// slowFactor times its configured duration, or when a load that has not
 	// ended has taken more than overdueFactor times that.
 	slowFactor    = 1.3
@@ -36,8 +36,9 @@
 // value has observed no load.
 //
 // With an estimate that is too high, loads end later than predicted, since the
-// store shares its bandwidth among more loads than it can serve at full speed.
-// With one that is too low, targets wait although the store is not fully used.
+// weight store shares its bandwidth among more loads than it can serve at full
+// speed. With one that is too low, targets wait although the weight store is
+// not fully used.
 type storeCapacity struct {
 	// estimate is the number of loads at full speed; zero means
 	// initialCapacity.
@@ -64,8 +65,8 @@
 	listGap bool
 }
 
-// fullSpeed returns the number of concurrent loads that the store serves at
-// full speed.
+// fullSpeed returns the estimated number of concurrent loads that the weight
+// store serves at full speed.
 func (c *storeCapacity) fullSpeed() float64 {
 	if c.estimate == 0 {
 		return initialCapacity
--- a/internal/placement/holder/foretell.go
+++ b/internal/placement/holder/foretell.go
@@ -10,9 +10,9 @@
 // is published.
 const predictionStep = 300 * time.Millisecond
 
-// predict records when those models of a service become ready that must wait
-// for the weight store. Entries refuse at once the requests that cannot wait
-// that long, and return the predicted time for a retry.
+// predict records the predicted ready times of those of a service's models that
+// must wait for the weight store. Entries refuse at once the requests that
+// cannot wait that long, and return the predicted time for a retry.
 func (h *Holder) predict(service string, ready map[string]time.Duration, now time.Time) {
 	var predictions []Prediction
 
@@ -44,8 +44,8 @@
 	}
 }
 
-// predictedSince returns when the holder first made the current prediction for
-// each model of a service.
+// predictedSince returns, for each predicted model of a service, since when it
+// has been predicted without interruption.
 func (h *Holder) predictedSince(service string) map[string]time.Time {
 	out := make(map[string]time.Time, len(h.predictions))
 
--- a/internal/placement/holder/history.go
+++ b/internal/placement/holder/history.go
@@ -8,7 +8,7 @@
 )
 
 // versionsKept is the number of snapshots for which deltas are available. It
-// covers some seconds of a busy holder.
+// covers some seconds of a holder that publishes often.
 const versionsKept = 128
 
 // History keeps the newest snapshot that an entry received or published and
@@ -52,8 +52,9 @@
 // Snapshot returns the newest snapshot. Its engines must not be modified.
 func (h *History) Snapshot() Snapshot { return h.snapshot }
 
-// Publish records a snapshot that this entry publishes. Counts that hardly differ
-// keep their last published values.
+// Publish records a snapshot that this entry publishes. A change in an engine's
+// number of running requests by less than runningStep is not recorded on its
+// own.
 func (h *History) Publish(latest Snapshot, now time.Time) { h.update(latest, now, runningStep) }
 
 // Receive records a snapshot that this entry has received.
@@ -123,9 +124,9 @@
 	return true
 }
 
-// updateEngine returns the state to record for the engine at position i.
-// Running requests keep the recorded value if they differ by less than
-// minDiff.
+// updateEngine returns the state to record for the engine at position i: the
+// new one if the engine is new or sameModels finds a difference, else the
+// recorded one, with both counts updated if sameCounts finds a difference.
 func (h *History) updateEngine(i int, state *EngineState, now time.Time, minDiff int) EngineState {
 	old, steps := h.snapshot.Engines[i], &h.steps[i]
 
--- a/internal/placement/holder/holder.go
+++ b/internal/placement/holder/holder.go
@@ -31,7 +31,11 @@
 	Table   table.Service
 	Engines Engines
 	Timing  lease.Timing
-	// TurnPause is the minimum time between orders of two different holders.
+	// TurnPause is the time within which orders of two holders must not
+	// alternate. A new holder sends none until TurnPause after its process has
+	// started and, if the former holder did not release the lease, until
+	// TurnPause - Timing.Duration + clockSlack after it acquired the lease.
+	// earliestOrder has the exception.
 	TurnPause time.Duration
 	// Targets returns the known targets. Routes returns the configuration in
 	// force, or nil.
@@ -80,8 +84,10 @@
 	// predictions are for the models that can only be loaded later, sorted by
 	// key.
 	predictions []Prediction
-	// snapshot is the newest snapshot that was received or published, at
-	// snapshotAt.
+	// snapshot is the newest snapshot that was received or published.
+	// snapshotAt is when that was, with two exceptions: New sets it so that an
+	// entry of the first group checks the lease after firstLeaseCheck, and
+	// Receive sets it to zero on the successor, which checks the lease at once.
 	snapshot   Snapshot
 	snapshotAt time.Time
 	number     uint64
@@ -183,8 +189,10 @@
 	}
 }
 
-// Announce publishes a snapshot at once, for changes that entries must receive
-// without delay.
+// Announce makes the lease holder publish a snapshot in its next round, and
+// starts that round without waiting for the interval. It is for changes that
+// entries must receive without delay. An entry without the lease publishes
+// nothing.
 func (h *Holder) Announce() {
 	h.mu.Lock()
 	h.published = false
@@ -216,8 +224,9 @@
 	return followerInterval
 }
 
-// Report records an entry's demand and the models or targets that it found
-// missing.
+// Report records an entry's demand, and the targets that, as the entry found,
+// lack a model or adapter or accept no connection. It returns a NotHolderError
+// on an entry without the lease.
 func (h *Holder) Report(r demand.Report, missing []Missing) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/placement/holder/holder_test.go
+++ b/internal/placement/holder/holder_test.go
@@ -125,7 +125,8 @@
 }
 
 // TestHolderDies kills the holder. Another entry must take over within a few
-// seconds, and no two of them may send orders within TurnPause.
+// seconds, and no two of them may send orders to the same engine within
+// TurnPause.
 func TestHolderDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newCluster(t, 3)
@@ -259,7 +260,7 @@
 	})
 }
 
-// TestReleaseDuringRenewal stops the holder while a renewal is in flight on a
+// TestReleaseDuringRenewal releases the lease while a renewal is in flight on a
 // slow store. The renewal changes the row's version, and the release must
 // still succeed: otherwise no entry could send orders until the lease expires.
 func TestReleaseDuringRenewal(t *testing.T) {
--- a/internal/placement/holder/leaseterm.go
+++ b/internal/placement/holder/leaseterm.go
@@ -127,17 +127,21 @@
 		Dur("ordersIn", ordersFrom.Sub(sent)).Msg("lease taken")
 }
 
-// earliestOrder returns the time at which this holder may send its first order.
+// earliestOrder returns the time from which this holder may send orders, where
+// former is the lease before and now the time at which it was acquired.
 //
-// A former holder that released the lease has no orders in flight. Any other
-// may have sent its last order right before its lease expired. In addition, the
-// previous process of this instance may have sent orders shortly before it
-// stopped, even if another entry has held the lease since, so a new process
-// waits for TurnPause after its start.
+// If this instance held the lease last, no other instance can have sent orders
+// since, and this holder need not wait: orders of one instance count as orders
+// of one holder.
 //
-// If the previous process of this instance held the lease last, no other
-// instance can have sent orders since, and this holder need not wait: orders of
-// one instance count as orders of one holder.
+// Otherwise it waits for TurnPause after the start of its process, since the
+// previous process of this instance may have sent orders shortly before it
+// stopped, even if another entry has held the lease since. It need not wait
+// longer if the lease was never held, or if the former holder released it and
+// so has no orders in flight. Any other former holder may have sent its last
+// order right before its lease expired, so the first order is also at least
+// TurnPause - Timing.Duration + clockSlack after now. If Timing.Duration exceeds
+// clockSlack, less than TurnPause may pass between the two orders.
 func (h *Holder) earliestOrder(former lease.Record, now time.Time) time.Time {
 	if former.Token != 0 && former.Holder == h.cfg.Self {
 		return now
@@ -235,7 +239,8 @@
 	h.watch = lease.Watch{}
 }
 
-// Release hands the lease over to another entry once no order is in flight.
+// Release hands the lease over to another entry once no order is in flight. If
+// ctx ends before that, or no other entry is alive, the lease is not released.
 func (h *Holder) Release(ctx context.Context) {
 	h.mu.Lock()
 	h.draining = true
--- a/internal/placement/holder/orders.go
+++ b/internal/placement/holder/orders.go
@@ -86,7 +86,8 @@
 	return h.sendOrder(ctx, eng, Order{Model: s.Load})
 }
 
-// loadAdapter loads an adapter, after unloading an idle one if one is given.
+// loadAdapter loads an adapter. If idle, as model/adapter, is not empty, it
+// unloads that adapter first, and loads nothing if the unload fails.
 func (h *Holder) loadAdapter(ctx context.Context, eng *trackedEngine, model, adapter, idle string) {
 	if idle != "" {
 		_, idleModel, idleName := splitKey("/" + idle)
@@ -161,13 +162,15 @@
 // out an order but has another sequence than the order expects, as after orders
 // that this holder has not recorded.
 func (h *Holder) sequenceDiffers(ctx context.Context, eng *trackedEngine, o Order) bool {
-	r, err := h.report(ctx, eng)
+	r, err := h.requestReport(ctx, eng)
 
 	return err == nil && !r.Busy && r.Sequence != o.Sequence
 }
 
-// stamp sets the lease's token and the engine's sequence on an order. It
-// returns false when the lease does not allow an order.
+// stamp sets the lease's token and holder and the engine's sequence on an
+// order. It returns false, and marks the engine as not synced, if the holder is
+// releasing the lease, if the lease is not valid, or if the engine's record has
+// been replaced or deleted.
 //
 // A holder that was paused or cut off may still consider its lease valid. So
 // the lease is checked right before each order, after the last wait, against a
@@ -228,7 +231,7 @@
 // must report its models before it gets other orders.
 func (h *Holder) resolveInDoubt(ctx context.Context, eng *trackedEngine, o Order) (again bool) {
 	if clock.Sleep(ctx, maxReportAge) == nil {
-		if r, err := h.report(ctx, eng); err == nil && r.Sequence == o.Sequence {
+		if r, err := h.requestReport(ctx, eng); err == nil && r.Sequence == o.Sequence {
 			return true
 		}
 	}
@@ -241,7 +244,8 @@
 	return false
 }
 
-func (h *Holder) report(ctx context.Context, eng *trackedEngine) (Report, error) {
+// requestReport requests an engine's report.
+func (h *Holder) requestReport(ctx context.Context, eng *trackedEngine) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 
@@ -265,7 +269,7 @@
 
 // inquire asks an engine for a report and applies it.
 func (h *Holder) inquire(ctx context.Context, eng *trackedEngine) {
-	r, err := h.report(ctx, eng)
+	r, err := h.requestReport(ctx, eng)
 
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/placement/holder/rates.go
+++ b/internal/placement/holder/rates.go
@@ -7,8 +7,9 @@
 
 const (
 	// shortRateSpan is the time constant for smoothing a model's request rate.
-	// It is long enough to distinguish busy models from rarely used ones, and
-	// short compared to the time in which the set of busy models changes.
+	// It is long enough to distinguish frequently requested models from rarely
+	// requested ones, and short compared to the time in which the set of
+	// frequently requested models changes.
 	shortRateSpan = 6 * time.Second
 	// longRateSpan is the time constant for decisions with a longer effect: a
 	// load from the weight store serves the demand of the next half minute.
--- a/internal/placement/holder/replacement_test.go
+++ b/internal/placement/holder/replacement_test.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// rareModels is the number of rarely requested models, beside the busy one.
+	// rareModels is the number of rarely requested models, beside the frequent one.
 	rareModels = 23
 	// replacedTargets is the number of targets, of which one is replaced by an
 	// empty one every other second.
@@ -26,17 +26,18 @@
 	// concurrentLoads the number that it serves at full speed.
 	fromStore       = 6 * time.Second
 	concurrentLoads = 4
-	// busyTarget is the first of the two targets that hold the busy model.
-	busyTarget = 3
-	// busyRequestTimeout and rareRequestTimeout are how long requests for the
-	// busy model and for rare ones wait.
-	busyRequestTimeout = 1500 * time.Millisecond
-	rareRequestTimeout = 5600 * time.Millisecond
-	runTime            = 300 * time.Millisecond
-	tickInterval       = 50 * time.Millisecond
-	workloadEnd        = 50 * time.Second
-	firstJoin          = 10 * time.Second
-	joinInterval       = 2 * time.Second
+	// frequentTarget is the first of the two targets that hold the frequent model,
+	// which is requested at every tick.
+	frequentTarget = 3
+	// frequentRequestTimeout and rareRequestTimeout are how long requests for
+	// the frequent model and for rare ones wait.
+	frequentRequestTimeout = 1500 * time.Millisecond
+	rareRequestTimeout     = 5600 * time.Millisecond
+	runTime                = 300 * time.Millisecond
+	tickInterval           = 50 * time.Millisecond
+	workloadEnd            = 50 * time.Second
+	firstJoin              = 10 * time.Second
+	joinInterval           = 2 * time.Second
 	// leaveDelay is the time between a new target's joining and the old one's
 	// leaving.
 	leaveDelay = time.Second
@@ -55,13 +56,13 @@
 	waiting []waitingRequest
 	arrived map[string]int
 	running map[ledger.Key]int
-	// served and asked count requests; the key is true for the busy model.
+	// served and asked count requests; the key is true for the frequent model.
 	served, asked map[bool]int
 	// possible counts the requests that the oracle would serve.
 	possible map[bool]int
 }
 
-// arrivals returns the models requested in the nth tick: the busy one each
+// arrivals returns the models requested in the nth tick: the frequent one each
 // time, and the others in turn, two a second.
 func arrivals(n int) []string {
 	out := []string{"m0"}
@@ -74,7 +75,7 @@
 
 // oracle reports whether a scheduler with the whole schedule as input could
 // serve a request for the model that arrives at the given time. Such a
-// scheduler loads a replica of the busy model in time. Of the rare models it
+// scheduler loads a replica of the frequent model in time. Of the rare models it
 // can serve those whose targets have not left, and those that the weight store
 // can load until the request times out, beginning when the first empty target
 // joins, in the order in which their targets leave.
@@ -103,7 +104,7 @@
 	for _, model := range arrivals(n) {
 		timeout := rareRequestTimeout
 		if model == "m0" {
-			timeout = busyRequestTimeout
+			timeout = frequentRequestTimeout
 		}
 
 		c.waiting = append(c.waiting, waitingRequest{model, now.Add(timeout)})
@@ -200,12 +201,13 @@
 }
 
 // TestReplacement replaces all targets of a service by empty ones, one after
-// the other, under steady demand for a busy model and many rare ones. The
-// weights on the old targets' disks are lost with them, and the weight store
-// loads four models in six seconds. At least 99 % of the requests for the busy
-// model must be served, and of those for the rare models at least half as many
-// as the oracle serves. It guards against loads chosen by deadline alone, which
-// go to rare models while the busy one is on no target for seconds.
+// the other, under steady demand for a frequently requested model and many rare
+// ones. The weights on the old targets' disks are lost with them, and the weight
+// store loads four models in six seconds. At least 99 % of the requests for the
+// frequent model must be served, and of those for the rare models at least half
+// as many as the oracle serves. It guards against loads chosen by deadline
+// alone, which go to rare models while the frequent one is on no target for
+// seconds.
 func TestReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := engine()
@@ -223,7 +225,7 @@
 				w.OnDisk = append(w.OnDisk, fmt.Sprintf("m%d", n))
 			}
 
-			if i == busyTarget || i == busyTarget+1 {
+			if i == frequentTarget || i == frequentTarget+1 {
 				w.Holding = []string{"m0"}
 			}
 
@@ -248,8 +250,8 @@
 			time.Sleep(tickInterval)
 		}
 
-		t.Logf("busy: %d of %d served; rare: %d of %d, the oracle %d", c.served[true], c.asked[true], c.served[false], c.asked[false], c.possible[false])
-		assert.Assert(t, c.served[true] >= c.asked[true]*99/100, "busy model: %d of %d", c.served[true], c.asked[true])
+		t.Logf("frequent: %d of %d served; rare: %d of %d, the oracle %d", c.served[true], c.asked[true], c.served[false], c.asked[false], c.possible[false])
+		assert.Assert(t, c.served[true] >= c.asked[true]*99/100, "frequent model: %d of %d", c.served[true], c.asked[true])
 		assert.Assert(t, 2*c.served[false] >= c.possible[false], "rare models: %d of %d", c.served[false], c.possible[false])
 		cl.finish()
 	})
--- a/internal/placement/holder/snapshot.go
+++ b/internal/placement/holder/snapshot.go
@@ -40,8 +40,8 @@
 type Prediction struct {
 	Key   string
 	Ready time.Time
-	// Since is when the holder first made the prediction. It is not sent to
-	// other entries.
+	// Since is the time since which the holder has predicted the model without
+	// interruption, even if Ready has changed. It is not sent to other entries.
 	Since time.Time
 }
 
--- a/internal/placement/holder/station.go
+++ b/internal/placement/holder/station.go
@@ -43,8 +43,9 @@
 	// newest.
 	reportedAt       time.Time
 	reportedSequence uint64
-	// down is true when both this holder and at least one entry have failed to
-	// reach the engine. suspectedAt is when an entry last failed to reach it.
+	// down is true when both this holder and another entry have failed to reach
+	// the engine. suspectedAt is when another entry last reported that it
+	// failed to reach it.
 	down        bool
 	suspectedAt time.Time
 	// lastCheck is when an entry last found a model missing or the engine was
@@ -66,8 +67,8 @@
 	// storeLoadModel is the model of a load from the weight store that was
 	// decided and, as far as is known, has not ended, or empty. It is set
 	// before the load's orders are sent. Otherwise each round of decisions
-	// until the engine accepts the order would start as many loads as the store
-	// serves at full speed.
+	// until the engine accepts the order would start as many loads as the
+	// weight store serves at full speed.
 	storeLoadModel string
 	// loadStarted is when the order of the last load was accepted.
 	loadStarted time.Time
@@ -86,8 +87,9 @@
 	used  time.Time
 }
 
-// sync applies the target list. The caller holds the lock.
-func (h *Holder) sync(now time.Time) {
+// applyTargetList applies the target list to the engines' records. The caller
+// holds the lock.
+func (h *Holder) applyTargetList(now time.Time) {
 	targets := h.cfg.Targets()
 
 	h.removeUnlisted(targets, now)
@@ -306,8 +308,9 @@
 }
 
 // adoptSnapshot starts a lease term with the state in the former holder's last
-// snapshot. That state may be outdated: each order contains the sequence that
-// it was decided on, and the engine refuses it if its own sequence differs.
+// snapshot. That state may be outdated, which does no harm: each order contains
+// the sequence that it was decided on, and the engine refuses it if its own
+// sequence differs.
 func (h *Holder) adoptSnapshot() {
 	h.engines = make(map[instance.ID]*trackedEngine)
 	now := clock.Now()
@@ -316,7 +319,7 @@
 		c.loads = nil
 	}
 
-	h.sync(now)
+	h.applyTargetList(now)
 
 	for _, state := range h.snapshot.Engines {
 		eng := h.engines[state.Target]
@@ -360,12 +363,14 @@
 // serves reports whether entries send requests to the engine.
 func (eng *trackedEngine) serves() bool { return !eng.target.Leaving && !eng.down }
 
-// suspect records that an entry does not reach a target.
+// suspect records that an entry does not reach a target, and marks the engine
+// as not synced, so that the holder requests a report. If that fails too,
+// markDown marks the engine as down: a crashed target stays on the target list
+// for seconds, and its models would be loaded elsewhere only after it is
+// removed.
 //
-// A crashed target stays on the target list for seconds, and its models would
-// be loaded elsewhere only after it is removed. Failures that the holder's own
-// entry reports do not count, since that entry may be cut off together with
-// the holder.
+// Failures that the holder's own entry reports do not count, since that entry
+// may be cut off together with the holder.
 func (h *Holder) suspect(id, entry instance.ID) {
 	eng := h.engines[id]
 	if eng == nil || entry == h.cfg.Self {
@@ -379,8 +384,9 @@
 // suspicionTimeout is how long a report that a target is unreachable counts.
 const suspicionTimeout = 3 * time.Second
 
-// markDown marks an engine that gave no report as down if an entry recently
-// failed to reach it too. The caller holds the lock.
+// markDown marks an engine that gave no report as down if another entry
+// reported within suspicionTimeout that it failed to reach it. The caller holds
+// the lock.
 func (h *Holder) markDown(eng *trackedEngine, now time.Time) {
 	if eng.down || now.Sub(eng.suspectedAt) > suspicionTimeout {
 		return
@@ -394,8 +400,8 @@
 // is asked for a report.
 const loadGrace = 700 * time.Millisecond
 
-// minWaitingEntries is the smallest published number of waiting entries.
-// Differences below it cause no new snapshot.
+// minWaitingEntries is the smallest published number of waiting entries of an
+// engine that is not down. Changes below it are not published.
 const minWaitingEntries = 8
 
 // roundWaitingEntries rounds n up to a power of two, at least
--- a/internal/placement/holder/store_test.go
+++ b/internal/placement/holder/store_test.go
@@ -74,10 +74,10 @@
 }
 
 // TestPredictionsArePublished has five empty engines and requests that wait
-// for eight models. The store serves four loads at full speed. All entries
-// must receive predictions for the other four models, otherwise requests wait
-// in vain until their clients disconnect. A loaded model must have no
-// prediction.
+// for eight models. The weight store serves four loads at full speed. All
+// entries must receive predictions for the other four models, otherwise
+// requests wait in vain until their clients disconnect. A loaded model must
+// have no prediction.
 func TestPredictionsArePublished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newClusterOf(t, 2, engine(), 0)
--- a/internal/placement/holder/storecapacity_test.go
+++ b/internal/placement/holder/storecapacity_test.go
@@ -12,8 +12,8 @@
 )
 
 // simulateStore keeps as many loads in flight as the estimate allows and
-// returns the final estimate. The simulated store serves capacity loads at full
-// speed and shares its bandwidth among them if there are more.
+// returns the final estimate. The simulated weight store serves capacity loads
+// at full speed and shares its bandwidth among them if there are more.
 func simulateStore(capacity int, span, load time.Duration, outage bool) float64 {
 	var c storeCapacity
 
@@ -59,7 +59,7 @@
 
 // TestStoreCapacityEstimate guards against a wrong estimate of the weight
 // store's capacity: loads take longer than predicted, or targets wait for an
-// idle store.
+// idle weight store.
 func TestStoreCapacityEstimate(t *testing.T) {
 	for name, tc := range map[string]struct {
 		capacity    int
--- a/internal/placement/holder/world_test.go
+++ b/internal/placement/holder/world_test.go
@@ -31,8 +31,8 @@
 
 const turnPause = 3 * time.Second
 
-// cluster has holders h0, h1, …, workers that by default hold two of eight
-// models each, and a store that can fail.
+// cluster has entries h0, h1, …, each with a Holder, workers that by default
+// hold two of eight models each, and a store that can fail.
 type cluster struct {
 	t       *testing.T
 	table   platform.Platform
@@ -61,7 +61,8 @@
 	extraDelay time.Duration
 }
 
-// testHolder is a holder that tests can pause, with gate, and stop.
+// testHolder is the Holder of an entry. Tests can pause it, with gate, and stop
+// it.
 type testHolder struct {
 	*holder.Holder
 
@@ -115,7 +116,7 @@
 
 func (cl *cluster) start(ctx context.Context, id instance.ID) { cl.startAs(ctx, id, string(id)+"-1") }
 
-// startAs starts a holder with the given process name.
+// startAs starts the Holder of an entry with the given process name.
 func (cl *cluster) startAs(ctx context.Context, id instance.ID, process string) {
 	ctx, stop := context.WithCancel(ctx)
 	h := &testHolder{stop: stop}
@@ -132,7 +133,8 @@
 	go h.Run(ctx)
 }
 
-// candidates returns the other holders, all of unknown strength.
+// candidates returns the other entries that are not partitioned, all of unknown
+// strength.
 func (cl *cluster) candidates(self instance.ID) []holder.Candidate {
 	var out []holder.Candidate
 	for _, id := range cl.peers(self) {
@@ -142,7 +144,7 @@
 	return out
 }
 
-// peers returns the other holders.
+// peers returns the other entries that are not partitioned.
 func (cl *cluster) peers(self instance.ID) []instance.ID {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
