--- a/internal/placement/cell/cell.go
+++ b/internal/placement/cell/cell.go
@@ -229,8 +229,10 @@
 	return leaserow.Row{Table: c.cfg.Table, Cell: c.cfg.Cell, Process: c.cfg.Process}
 }
 
-// acquire writes the lease and the fence in one transaction. Once it has taken
-// effect, ledger writes of former holders fail.
+// acquire acquires the lease and starts a lease term. It writes the lease and the
+// fence in one transaction; once that has taken effect, ledger writes of former
+// holders fail. If the transaction fails or stays in doubt, no term starts, and
+// the next check reads the lease again.
 func (c *Cell) acquire(ctx context.Context, old lease.Record, leaseVersion, fenceVersion uint64) {
 	next := lease.Record{
 		Cell:    c.cfg.Cell,
@@ -338,9 +340,10 @@
 	c.term.setHolding(c.holding)
 }
 
-// handleConflict handles a renewal that conflicted: it reads the row, and either
-// continues with the row's version, if this process still holds the lease, or
-// ends the term.
+// handleConflict handles a renewal that conflicted. It reads the row: if this
+// process still holds the lease, the next renewal uses the row's version; if not,
+// the term ends. If the row cannot be read, the next renewal uses the old version
+// and conflicts again.
 func (c *Cell) handleConflict(ctx context.Context, holding lease.Holding) {
 	version, own, err := c.row().CheckOwner(ctx, holding.Token)
 
@@ -355,7 +358,8 @@
 	}
 }
 
-// loseLease ends the term because another instance holds the lease.
+// loseLease ends the term with the given token because this process no longer
+// holds the lease. It does nothing if that term has already ended.
 func (c *Cell) loseLease(token uint64) {
 	c.mu.Lock()
 	if c.holding.Token != token {
@@ -431,8 +435,9 @@
 	return peer.Lease{Cell: c.cfg.Cell, Token: c.holding.Token}, c.holding.Token != 0
 }
 
-// OrdersInFlight reports whether calls for orders of this process to engines of
-// the cell have not returned yet.
+// OrdersInFlight reports whether a call of this process for an order to an engine
+// of the cell is still running. An order whose call was cancelled or timed out is
+// not counted, though it may still arrive.
 func (c *Cell) OrdersInFlight() bool { return c.inFlight.Load() > 0 }
 
 // Number returns the cell's number.
--- a/internal/placement/cell/history.go
+++ b/internal/placement/cell/history.go
@@ -13,8 +13,9 @@
 // modelHistory is the history of the uses of the cell's models.
 type modelHistory struct {
 	uses history.Registry
-	// loaded says that the stored history was read, or that there is none.
-	loaded bool
+	// restored says that the stored history was read, that there is none, or that
+	// it could not be decoded. Only then do decisions use the history.
+	restored bool
 	// candidateModels are the models that may be worth loading ahead of use, as
 	// of candidatesAt.
 	candidateModels []string
@@ -60,7 +61,8 @@
 }
 
 // maintainHistory reads the history that former holders have written, and then
-// writes it at intervals. A holder that crashes loses at most one interval.
+// writes it at intervals. A holder that crashes loses the uses since its last
+// successful write.
 func (t *leaseTerm) maintainHistory() {
 	for !t.readHistory() {
 		if !t.sleep(publishEvery) {
@@ -72,7 +74,8 @@
 		t.writeHistory(t.ctx)
 	}
 
-	// Write once more when the term ends, so that only a crash loses uses.
+	// Write once more when the term ends, so that only a crash or a failed write
+	// loses uses.
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 
@@ -96,7 +99,7 @@
 		}
 	}
 
-	t.history.loaded = true
+	t.history.restored = true
 
 	return true
 }
--- a/internal/placement/cell/orders.go
+++ b/internal/placement/cell/orders.go
@@ -60,9 +60,9 @@
 func loadID(writeID string) string { return "load/" + writeID }
 
 // handleWriteError handles a row that could not be written. After a conflict the
-// write had no effect, so the row is dropped. Any other error means that the
-// term has ended while the write was in doubt; the successor reads the ledger
-// from the store.
+// write had no effect, so the row is dropped and the term ends. Any other error
+// means that the term has ended while the write was in doubt; the successor reads
+// the ledger from the store.
 func (t *leaseTerm) handleWriteError(k ledger.Key, err error) {
 	if !table.IsConflict(err) {
 		return
@@ -75,9 +75,9 @@
 	t.foundSuccessor(err)
 }
 
-// orderLoad sends the order until the engine has answered it, or until endsOrder
-// reports that it must not be sent again. Sending it again is harmless, because
-// the engine carries out each id only once.
+// orderLoad sends the order until the engine has answered it, endsOrder reports
+// that it must not be sent again, or the term ends. Sending it again is harmless,
+// because the engine carries out each id only once.
 func (t *leaseTerm) orderLoad(k ledger.Key, a target.Load, id string) {
 	t.event(timeline.LoadOrdered, k, "")
 
@@ -145,8 +145,10 @@
 	epoch uint64
 }
 
-// submit sends one order, if this holder may still send it. It checks that right
-// before it sends the order, and again when the call has returned.
+// submit sends one order, if its row and target have not been removed and
+// mayOrder allows it right before the order is sent; otherwise it returns an
+// ExpiredError. If mayOrder no longer allows the order when the call has
+// returned, submit records a LateOrder event and returns the answer all the same.
 func (t *leaseTerm) submit(k ledger.Key, a target.Action, id string) (answer, error) {
 	t.mu.Lock()
 
@@ -187,8 +189,8 @@
 
 	if !t.mayOrder(row, time.Now()) {
 		// The lease expired while the order was in flight. The row stays
-		// counted until this holder or its successor has proof of the order's
-		// effect.
+		// counted until Removable allows this holder or its successor to
+		// remove it.
 		t.cfg.Log.Add(timeline.Event{Kind: timeline.LateOrder, Model: k.Model, Target: k.Target, Detail: id})
 	}
 
@@ -238,8 +240,9 @@
 	t.requestRound()
 }
 
-// unload sends an unload order until the engine has answered it. It gives up if a
-// successor is found or the target is no longer on the instance list.
+// unload sends an unload order until the engine has answered it. It stops early
+// if a successor is found, the target is no longer on the instance list, or the
+// term ends.
 func (t *leaseTerm) unload(k ledger.Key) {
 	t.event(timeline.UnloadOrdered, k, "")
 
@@ -292,7 +295,7 @@
 }
 
 // advance starts the next operation of each row, if one is due: unloading a
-// replica, removing a row, or sending a load order again after a takeover.
+// replica, removing a row, or sending the load order of an adopted row.
 func (t *leaseTerm) advance(now time.Time) {
 	t.ledger.All(func(r *ledger.Row) { t.advanceRow(r, now) })
 }
@@ -316,10 +319,10 @@
 	}
 }
 
-// needsOrder reports whether the row was adopted from a former holder and its
-// load order must be sent again. Because the order has the same id, it starts
-// the load if the former holder never sent its order, and makes the engine
-// ignore the former holder's order if it arrives later.
+// needsOrder reports whether this holder must send the load order of a row that
+// it adopted, because the former holder may not have sent it. Both orders have
+// the same id, so the engine carries out the one that arrives first and ignores
+// the other.
 func (t *leaseTerm) needsOrder(r *ledger.Row, e *engineState) bool {
 	return !r.State.OwnTerm && !r.State.Acknowledged && !r.State.Retiring && e.usable
 }
@@ -376,12 +379,13 @@
 const stuckAfter = time.Second
 
 // writerIdle reports whether the process that wrote the row is proved to have no
-// order in flight, that is, no running call for one. That holds for rows of this
-// instance: an earlier term of this process ended only after all its calls to
-// engines had returned, and an earlier process has ended, since this one could
-// not listen on its address otherwise. An order whose call was cancelled or
-// timed out may still arrive; Removable therefore also requires that the
-// engine has the raised token, or that OrderLifetime has passed.
+// order in flight, that is, no running call for one. Rows of this instance count
+// as proved: an earlier term of this process cancelled its calls to engines when
+// it ended (if foundSuccessor ended it, this term may have started before they
+// returned), and an earlier process has ended, since this one could not listen on
+// its address otherwise. An order whose call was cancelled or timed out may still
+// arrive; Removable therefore also requires that the engine has the raised token,
+// or that OrderLifetime has passed.
 func (t *leaseTerm) writerIdle(r *ledger.Row, now time.Time) bool {
 	if r.Holder == t.cfg.Self {
 		return true
--- a/internal/placement/cell/publish.go
+++ b/internal/placement/cell/publish.go
@@ -35,8 +35,9 @@
 // replica, or 1 if the replica was never published.
 func (p *publication) omittedSince(k ledger.Key) uint64 { return max(1, p.removedIn[k]) }
 
-// publish sends the entries a delta every publishEvery, and at once if
-// publishNow is set or if the models that wait or their reasons have changed.
+// publish enqueues a delta for the entries every publishEvery, and at once if
+// publishNow is set, or if the models in t.waits or the reasons for refusing them
+// have changed. It publishes nothing before the ledger was read.
 func (t *leaseTerm) publish(now time.Time) {
 	if !t.ledgerRead {
 		return
@@ -105,8 +106,9 @@
 	return ready
 }
 
-// sameWaits reports whether the same models wait for the same reasons. It
-// ignores the predicted times, which change with every round.
+// sameWaits reports whether both lists have the same models with the same reasons
+// for refusal, in the same order. It ignores the other fields; the predicted
+// times among them change with every round.
 func sameWaits(a, b []router.Wait) bool {
 	return slices.EqualFunc(a, b, func(a, b router.Wait) bool { return a.Model == b.Model && a.Reason == b.Reason })
 }
--- a/internal/placement/cell/shares.go
+++ b/internal/placement/cell/shares.go
@@ -66,10 +66,11 @@
 	}
 }
 
-// desiredLoads returns how many loads the cell could have in flight. It includes
-// one more than are in flight and wanted, so that a share is already granted
-// when the first request for a cold model arrives, provided that the load limit
-// exceeds the number of cells.
+// desiredLoads returns how many loads the cell requests a share for: those in
+// flight, one for each model that requests wait for and that has no ledger row,
+// and one spare load each of models and of adapters, up to the load limit. With
+// the spare load, a share is already granted when the first request for a cold
+// model arrives, provided that the load limit exceeds the number of cells.
 func (t *leaseTerm) desiredLoads(using share.Loads, now time.Time) share.Loads {
 	desired := share.Loads{Models: using.Models + 1, Adapters: using.Adapters + 1}
 
--- a/internal/placement/cell/term.go
+++ b/internal/placement/cell/term.go
@@ -148,9 +148,11 @@
 	return clock.Sleep(t.ctx, d) == nil
 }
 
-// adoptLedger reads the cell's ledger from the store. It runs after the fence
-// was written, so a former holder can add no more rows, and every order that a
-// former holder may still send is for a row that is counted here.
+// adoptLedger reads the cell's ledger from the store, and returns false if that
+// fails. It runs after the fence was written, so a former holder can add no more
+// rows, and every order that a former holder may still send is for a row that is
+// counted here, unless the row cannot be decoded: such rows are logged and
+// skipped.
 func (t *leaseTerm) adoptLedger() bool {
 	rows, err := table.ScanAll(t.ctx, t.cfg.Table, record.LedgerPrefix(t.cfg.Cell))
 	if err != nil {
@@ -275,7 +277,7 @@
 		Weights:        t.cfg.Policy,
 	}
 
-	if t.history.loaded {
+	if t.history.restored {
 		s.Forecast = &t.history.uses
 		s.Candidates = t.history.candidates(now, t.cfg.Policy.WaitCost)
 	}
@@ -310,13 +312,13 @@
 
 			t.waits = append(t.waits, router.Wait{Model: d.Model, Ready: d.ReadyIn})
 		case replica.Retire:
-			// Without the lease no replica can be loaded in its place, so this
-			// one stays.
+			// Without a valid lease no load is started that could replace this
+			// replica, so it stays.
 			if valid {
 				t.retire(ledger.Key{Target: d.Target, Model: d.Model})
 			}
 		case replica.CancelRetire:
-			t.revive(ledger.Key{Target: d.Target, Model: d.Model})
+			t.cancelRetire(ledger.Key{Target: d.Target, Model: d.Model})
 		case replica.Predict:
 			t.waits = append(t.waits, router.Wait{Model: d.Model, Ready: d.ReadyIn})
 		case replica.Deny:
@@ -347,13 +349,14 @@
 	}
 }
 
-// reasonNoLease is the reason that waiting requests are given while the holder
-// cannot renew its lease.
+// reasonNoLease is the reason for refusing requests for models without a ledger
+// row once the lease is no longer valid, which usually means that the holder
+// could not renew it in time.
 const reasonNoLease = "the table service is unavailable"
 
-// denyLoads replaces the predicted ready times of models without a replica by
-// denials: without the lease no load can be written to the ledger, so none may
-// be promised.
+// denyLoads replaces the predicted ready times of models without a ledger row by
+// denials: a holder whose lease is no longer valid starts no load, so it must not
+// promise one.
 func (t *leaseTerm) denyLoads() {
 	for i, w := range t.waits {
 		if rows := t.ledger.Model(w.Model); w.Reason == "" && len(rows) == 0 {
@@ -394,7 +397,7 @@
 	t.publishNow = true
 }
 
-func (t *leaseTerm) revive(k ledger.Key) {
+func (t *leaseTerm) cancelRetire(k ledger.Key) {
 	row := t.ledger.Row(k)
 	row.State.Retiring = false
 	t.publishNow = true
--- a/internal/placement/lease/lease.go
+++ b/internal/placement/lease/lease.go
@@ -71,14 +71,15 @@
 	RenewalSent time.Time
 }
 
-// ExpiredError says that the holder's own lease has expired.
+// ExpiredError says that an order was not sent, because the holder's own lease has
+// expired or because the order's ledger row or target has been removed.
 type ExpiredError struct {
 	Cell  int
 	Token uint64
 }
 
 func (e *ExpiredError) Error() string {
-	return fmt.Sprintf("lease: cell %d: the lease with token %d has expired", e.Cell, e.Token)
+	return fmt.Sprintf("lease: cell %d: order with token %d not sent: the lease has expired, or the ledger row or target has been removed", e.Cell, e.Token)
 }
 
 // Expiry returns when the lease expires for its holder. It counts from when the
@@ -125,11 +126,16 @@
 // Free reports whether the candidate self may acquire the lease at now. Rank
 // is its position, from zero, in the cell's rendezvous order.
 //
+// A lease that was never held is free at once for the first candidate. A released
+// lease is free at once for the named successor, and for the others once that
+// successor has had time to read the row.
+//
 // A lease that was not released becomes free once its row has not changed for
 // the duration, lengthened by maxClockDrift, on this instance's own clock, so
-// the clocks of different machines are not compared. Each candidate waits longer
-// than the one ranked before it, so that they rarely race; if they do, the
-// condition on the row's version lets only one succeed.
+// the clocks of different machines are not compared. In all three cases each
+// candidate, the named successor excepted, waits longer than the one ranked before
+// it, so that they rarely race; if they do, the condition on the row's version
+// lets only one succeed.
 func (w *Watch) Free(now time.Time, t Timing, self instance.ID, rank int) bool {
 	if !w.seen {
 		return false
--- a/internal/placement/ledger/removable.go
+++ b/internal/placement/ledger/removable.go
@@ -15,9 +15,10 @@
 // Evidence is the input to the decision whether a row may be removed.
 type Evidence struct {
 	Now time.Time
-	// Inventory is the engine's current inventory: no order to the engine is in
-	// flight, and none has been answered whose effect it may lack. Nil means
-	// that there is no such inventory.
+	// Inventory is the engine's current inventory. It is set only while no order
+	// of this holder to the engine is in flight, and it shows the effects of all
+	// its orders that the engine has answered. Nil means that there is no such
+	// inventory.
 	Inventory *target.Inventory
 	// ChecksTokens says that the engine refuses orders with old fencing tokens.
 	ChecksTokens bool
