--- a/internal/fleet/node/calls.go
+++ b/internal/fleet/node/calls.go
@@ -40,7 +40,7 @@
 )
 
 // cause returns why an entry that knows the store calls it.
-func (s standing) cause() cause {
+func (s pollState) cause() cause {
 	switch {
 	case s.holding:
 		return causeHolding
@@ -53,14 +53,14 @@
 
 // noteLook counts a look at the store by an entry that knows it as of a version,
 // or not at all if that is zero.
-func (n *Node) noteLook(what call, s standing, after uint64) {
+func (n *Node) countRead(what call, s pollState, after uint64) {
 	if after == 0 && !s.holding {
-		n.calls.note(what, causeStart)
+		n.calls.count(what, causeStart)
 
 		return
 	}
 
-	n.calls.note(what, s.cause())
+	n.calls.count(what, s.cause())
 }
 
 // calls counts the calls to the platform's store, which are priced. Set metrics
@@ -71,22 +71,22 @@
 	metrics tally.Scope
 }
 
-func (c *calls) note(what call, why cause) {
+func (c *calls) count(what call, why cause) {
 	c.metrics.Tagged(map[string]string{"call": string(what), "cause": string(why)}).Counter("store_calls").Inc(1)
 	c.add(string(what)+" "+string(why), 1)
 }
 
 // callsEvery is the time between two lines that tell the counts so far.
-const callsEvery = 10 * time.Second
+const callsLogInterval = 10 * time.Second
 
 // logCalls tells how many calls to the store were made since the process
 // started, and how many bytes were exchanged with other entries.
 func (n *Node) logCalls(ctx context.Context) {
 	var calls, bytes int
 
-	for clock.Sleep(ctx, callsEvery) == nil {
-		calls = n.logCounts("store calls", "calls", n.calls.counted(), calls)
-		bytes = n.logCounts("bytes between entries", "bytes", n.traffic.counted(), bytes)
+	for clock.Sleep(ctx, callsLogInterval) == nil {
+		calls = n.logCounts("store calls", "calls", n.calls.totals(), calls)
+		bytes = n.logCounts("bytes between entries", "bytes", n.traffic.totals(), bytes)
 	}
 }
 
@@ -111,35 +111,35 @@
 type countedTable struct {
 	table.Service
 
-	note func(key string)
+	count func(key string)
 }
 
 // noteTable counts a call for a key of the product's own table.
-func (n *Node) noteTable(key string) {
+func (n *Node) countTableCall(key string) {
 	if strings.HasPrefix(key, entryPrefix) {
-		n.calls.note(callEntries, causeStart)
+		n.calls.count(callEntries, causeStart)
 	} else {
-		n.calls.note(callLease, n.standing().cause())
+		n.calls.count(callLease, n.pollState().cause())
 	}
 }
 
 // Read implements table.Service.
 func (t countedTable) Read(ctx context.Context, keys ...string) ([]table.Row, error) {
-	t.note(keys[0])
+	t.count(keys[0])
 
 	return t.Service.Read(ctx, keys...)
 }
 
 // Scan implements table.Service.
 func (t countedTable) Scan(ctx context.Context, prefix, after string, limit int) ([]table.Row, error) {
-	t.note(prefix)
+	t.count(prefix)
 
 	return t.Service.Scan(ctx, prefix, after, limit)
 }
 
 // Commit implements table.Service.
 func (t countedTable) Commit(ctx context.Context, tx table.Transaction) (uint64, error) {
-	t.note(tx.Writes[0].Key)
+	t.count(tx.Writes[0].Key)
 
 	return t.Service.Commit(ctx, tx)
 }
--- a/internal/fleet/node/confirm.go
+++ b/internal/fleet/node/confirm.go
@@ -10,11 +10,11 @@
 
 const (
 	// confirmTime bounds one check of the configuration.
-	confirmTime = 400 * time.Millisecond
+	confirmTimeout = 400 * time.Millisecond
 	// confirmRest is the time between the beginnings of two checks, so that unknown
 	// keys, however many, cost few. A caller waits for this and for one check at
 	// most.
-	confirmRest = 200 * time.Millisecond
+	confirmInterval = 200 * time.Millisecond
 )
 
 // confirmation is the check of the configuration that callers with unknown keys
@@ -26,19 +26,19 @@
 	began time.Time
 	next  chan struct{}
 	// looked is when a check last went to the store.
-	looked time.Time
+	storeChecked time.Time
 }
 
 // confirm makes sure that the configuration in force here is as new as it was
 // when confirm was called, or returns when ctx ends or nobody answers.
 func (n *Node) confirm(ctx context.Context) {
-	c := &n.confirmed
+	c := &n.confirmation
 
 	c.mu.Lock()
 	if c.next == nil {
 		c.next = make(chan struct{})
 
-		go n.confirmAfter(time.Until(c.began.Add(confirmRest)), c.next)
+		go n.confirmAfter(time.Until(c.began.Add(confirmInterval)), c.next)
 	}
 
 	done := c.next
@@ -54,54 +54,54 @@
 func (n *Node) confirmAfter(pause time.Duration, done chan<- struct{}) {
 	defer close(done)
 
-	if clock.Sleep(n.work, pause) != nil {
+	if clock.Sleep(n.workCtx, pause) != nil {
 		return
 	}
 
-	c := &n.confirmed
+	c := &n.confirmation
 
 	c.mu.Lock()
 	c.began, c.next = time.Now(), nil
 
 	// All entries together ask the store no more often than a few would.
-	store := c.began.Sub(c.looked) >= spread(confirmRest, n.entries())
+	store := c.began.Sub(c.storeChecked) >= scaleInterval(confirmInterval, n.entryCount())
 	if store {
-		c.looked = c.began
+		c.storeChecked = c.began
 	}
 	c.mu.Unlock()
 
-	ctx, cancel := context.WithTimeout(n.work, confirmTime)
+	ctx, cancel := context.WithTimeout(n.workCtx, confirmTimeout)
 	defer cancel()
 
 	if store {
-		_ = n.confirmedByStore(ctx) || n.confirmedByHolder(ctx) // What nobody answers stays as it is.
+		_ = n.confirmWithStore(ctx) || n.confirmWithHolder(ctx) // What nobody answers stays as it is.
 	} else {
-		_ = n.confirmedByHolder(ctx) || n.confirmedByStore(ctx)
+		_ = n.confirmWithHolder(ctx) || n.confirmWithStore(ctx)
 	}
 }
 
 // confirmedByHolder puts in force what the holder has, if it is newer, and
 // reports whether it answered.
-func (n *Node) confirmedByHolder(ctx context.Context) bool {
-	v, q := n.holderView(ctx, n.lacksConfig())
+func (n *Node) confirmWithHolder(ctx context.Context) bool {
+	v, q := n.fetchFromHolder(ctx, n.configOnly())
 	if q == nil {
 		return false
 	}
 
-	n.takeConfig(v, q)
+	n.applyPeerConfig(v, q)
 
 	return true
 }
 
 // confirmedByStore puts in force what the store has, if it is newer, and reports
 // whether it answered.
-func (n *Node) confirmedByStore(ctx context.Context) bool {
+func (n *Node) confirmWithStore(ctx context.Context) bool {
 	// What the holder knows is asked when the store is silent.
-	ctx, cancel := context.WithTimeout(ctx, confirmTime/2) //nolint:mnd // Half of the time for either.
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout/2) //nolint:mnd // Half of the time for either.
 	defer cancel()
 
 	n.mu.Lock()
-	after := n.configRead
+	after := n.configReadVersion
 	n.mu.Unlock()
 
 	c, _, err := n.cfg.Source.ConfigurationAfter(ctx, after, 0)
@@ -112,7 +112,7 @@
 
 		return false
 	case c != nil:
-		n.putInForce(c)
+		n.activateConfig(c)
 	}
 
 	return true
--- a/internal/fleet/node/handler.go
+++ b/internal/fleet/node/handler.go
@@ -18,47 +18,47 @@
 // Hear implements news.Handler.
 func (n *Node) Hear(d holder.Delta) holder.Edition {
 	n.mu.Lock()
-	latest, ok := n.history.Merge(d)
+	latest, ok := n.holderHistory.Merge(d)
 	n.mu.Unlock()
 
 	if ok && n.holder.Hear(latest) {
-		n.takeNews(latest)
+		n.applyHolderState(latest)
 	}
 
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	return n.news.Edition()
+	return n.holderState.Edition()
 }
 
-func (n *Node) takeNews(latest holder.News) {
+func (n *Node) applyHolderState(latest holder.News) {
 	n.mu.Lock()
-	if n.news.Token != latest.Token {
+	if n.holderState.Token != latest.Token {
 		n.cfg.Log.Info().Str("holder", string(latest.Holder)).Uint64("token", latest.Token).Msg("holder heard")
 	}
 
-	n.heard = time.Now()
+	n.holderReceived = time.Now()
 	if latest.Holder == n.cfg.Self {
-		n.history.Tell(latest, n.heard)
+		n.holderHistory.Tell(latest, n.holderReceived)
 	} else {
-		n.history.Hear(latest, n.heard)
-		n.noteStore(latest.StoreAge, n.heard)
+		n.holderHistory.Hear(latest, n.holderReceived)
+		n.recordHolderStoreAge(latest.StoreAge, n.holderReceived)
 	}
 
-	n.news = n.history.News()
+	n.holderState = n.holderHistory.News()
 
-	behind := n.list < latest.List
+	behind := n.listVersion < latest.List
 	n.mu.Unlock()
-	poke(n.changed)
+	signal(n.routingChanged)
 
 	if behind {
-		poke(n.listBehind)
-		poke(n.listTold)
+		signal(n.refreshList)
+		signal(n.listAnnounced)
 	}
 
 	if c := n.config(); c == nil && latest.Config > 0 || c != nil && c.Version < latest.Config {
-		poke(n.configBehind)
-		poke(n.configTold)
+		signal(n.refreshConfig)
+		signal(n.configAnnounced)
 	}
 }
 
@@ -69,29 +69,29 @@
 	}
 
 	n.mu.Lock()
-	latest.List = n.usable
-	latest.StoreAge = time.Since(clock.Earlier(n.lookedConfig, n.lookedTargets))
+	latest.List = n.usableVersion
+	latest.StoreAge = time.Since(clock.Earlier(n.configAsOf, n.targetsAsOf))
 	n.mu.Unlock()
 
-	n.takeNews(latest)
-	n.peers.publish()
+	n.applyHolderState(latest)
+	n.peers.notifyAll()
 }
 
 // newsSince returns what is new to a peer that has these news, or of which that
 // is not known. It reports false unless the newest are this entry's own.
-func (n *Node) newsSince(has holder.Edition, known bool) (holder.Delta, bool) {
+func (n *Node) deltaSince(has holder.Edition, known bool) (holder.Delta, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	if n.news.Holder != n.cfg.Self || n.news.Process != n.process {
+	if n.holderState.Holder != n.cfg.Self || n.holderState.Process != n.process {
 		return holder.Delta{}, false
 	}
 
 	if !known {
-		has = n.history.Former()
+		has = n.holderHistory.Former()
 	}
 
-	return n.history.Since(has), true
+	return n.holderHistory.Since(has), true
 }
 
 // Report implements news.Handler.
@@ -100,10 +100,10 @@
 }
 
 // Block implements news.Handler.
-func (n *Node) Block(fp request.Fingerprint) { n.lines.Block(fp) }
+func (n *Node) Block(fp request.Fingerprint) { n.dispatcher.Block(fp) }
 
 // noticed spreads what was found on a request's path.
-func (n *Node) noticed(notice dispatch.Notice) {
+func (n *Node) broadcastNotice(notice dispatch.Notice) {
 	if notice.Poisoned == 0 {
 		return
 	}
@@ -112,9 +112,9 @@
 
 	for _, m := range n.peers.alive() {
 		go func() {
-			if q := n.peers.of(m.ID); q != nil {
+			if q := n.peers.connection(m.ID); q != nil {
 				// A peer that does not hear it finds out by itself.
-				_ = q.client.Block(n.work, notice.Poisoned)
+				_ = q.client.Block(n.workCtx, notice.Poisoned)
 			}
 		}()
 	}
@@ -122,18 +122,18 @@
 
 const (
 	// reportEvery is how often an entry reports when nothing new waits.
-	reportEvery = 400 * time.Millisecond
+	reportInterval = 400 * time.Millisecond
 	// gather is how long a report waits for further requests.
-	gather = 3 * time.Millisecond
+	reportDelay = 3 * time.Millisecond
 	// idlePace is how long a report waits, for each entry that there is, when all
 	// that it tells is that a replica has fallen idle. All entries together make
 	// 200 such reports a second at most.
-	idlePace = 5 * time.Millisecond
+	idleReportDelay = 5 * time.Millisecond
 )
 
 // report tells the holder what this entry's requests wait for and run on.
 func (n *Node) report(ctx context.Context) {
-	t := time.NewTicker(reportEvery)
+	t := time.NewTicker(reportInterval)
 	defer t.Stop()
 
 	var idle <-chan time.Time
@@ -142,15 +142,15 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.idled:
+		case <-n.reportIdle:
 			if idle == nil {
-				idle = time.After(time.Duration(n.entries()) * idlePace)
+				idle = time.After(time.Duration(n.entryCount()) * idleReportDelay)
 			}
 
 			continue
 		case <-idle:
-		case <-n.asked:
-			_ = clock.Sleep(ctx, gather)
+		case <-n.reportSoon:
+			_ = clock.Sleep(ctx, reportDelay)
 		case <-t.C:
 		}
 
@@ -161,12 +161,12 @@
 }
 
 func (n *Node) reportOnce(ctx context.Context) {
-	waiting, uses := n.lines.Report(0)
+	waiting, uses := n.dispatcher.Report(0)
 	r := demand.Report{Entry: n.cfg.Self, Process: n.process, Waiting: waiting, Uses: uses}
 
 	n.mu.Lock()
-	missing := n.missing
-	n.missing = nil
+	missing := n.unreportedMissing
+	n.unreportedMissing = nil
 	n.mu.Unlock()
 
 	if n.holder.Holding() {
@@ -175,7 +175,7 @@
 		return
 	}
 
-	q := n.peers.of(n.holder.Known())
+	q := n.peers.connection(n.holder.Known())
 	if q == nil {
 		return
 	}
--- a/internal/fleet/node/homes.go
+++ b/internal/fleet/node/homes.go
@@ -15,23 +15,23 @@
 const (
 	// homesOfLimits is how many entries decide on limits: a death among them
 	// touches a part of the teams only.
-	homesOfLimits = 3
+	maxOwners = 3
 	// formerHomes is how many of the strongest entries are asked after a start
 	// whether the process before had lent them something: a home is not among them
 	// only where more than half of them were passed over.
-	formerHomes = 8
+	maxFormerOwners = 8
 	// formerAsked is for how long after a start they are asked.
-	formerAsked = 2 * time.Second
+	formerOwnersPeriod = 2 * time.Second
 )
 
 // former returns the entries that may have been homes before this process
 // started, if all entries are known.
-func (q *quotas) former() []instance.ID {
+func (q *quotas) formerOwners() []instance.ID {
 	if !q.node.peers.scanned.Load() {
 		return nil
 	}
 
-	strong := strongest(q.node.peers.all(), formerHomes)
+	strong := strongest(q.node.peers.all(), maxFormerOwners)
 	out := make([]instance.ID, len(strong))
 
 	for i, m := range strong {
@@ -43,10 +43,10 @@
 
 // present returns the members that are known to be there: those that are alive,
 // and after a start, when few were heard yet, those that have answered.
-func (q *quotas) present() []roll.Member {
+func (q *quotas) presentMembers() []roll.Member {
 	out := q.node.peers.alive()
 
-	if clock.Now().Sub(q.lender.Started) > formerAsked {
+	if clock.Now().Sub(q.delegator.Started) > formerOwnersPeriod {
 		return out
 	}
 
@@ -58,7 +58,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	for _, m := range q.node.peers.likely() {
+	for _, m := range q.node.peers.aliveOrNew() {
 		if q.answered[m.ID] && !known[m.ID] {
 			out = append(out, m)
 		}
@@ -69,24 +69,24 @@
 
 // choose returns the homes of all limits: a few of the strongest entries that are
 // alive and answer. The parts of a group have different homes.
-func (q *quotas) choose(alive []roll.Member) quota.Homes {
+func (q *quotas) chooseOwners(alive []roll.Member) quota.Homes {
 	now := clock.Now()
 
 	q.mu.Lock()
-	alive = slices.DeleteFunc(alive, func(m roll.Member) bool { return q.passedOver(m.ID, now) })
+	alive = slices.DeleteFunc(alive, func(m roll.Member) bool { return q.excluded(m.ID, now) })
 	q.mu.Unlock()
 
 	if !q.node.stopping.Load() {
 		alive = append(alive, q.node.peers.self())
 	}
 
-	return divide(strongest(alive, homesOfLimits))
+	return assignOwners(strongest(alive, maxOwners))
 }
 
 // passedOver reports whether an entry has been silent too often to be a home. The
 // caller holds the lock.
-func (q *quotas) passedOver(id instance.ID, now time.Time) bool {
-	return now.Before(q.silent[id].until)
+func (q *quotas) excluded(id instance.ID, now time.Time) bool {
+	return now.Before(q.failures[id].excludedUntil)
 }
 
 // strongest returns so many of the strongest members, in an order on which all
@@ -101,11 +101,11 @@
 }
 
 // divide divides the limits among their homes.
-func divide(among []roll.Member) quota.Homes {
+func assignOwners(members []roll.Member) quota.Homes {
 	var out quota.Homes
 
-	ids, runs := make([]instance.ID, len(among)), make(map[instance.ID]string)
-	for i, m := range among {
+	ids, runs := make([]instance.ID, len(members)), make(map[instance.ID]string)
+	for i, m := range members {
 		ids[i], runs[m.ID] = m.ID, m.Process
 	}
 
--- a/internal/fleet/node/learn.go
+++ b/internal/fleet/node/learn.go
@@ -14,22 +14,22 @@
 
 // askEvery is the time between two questions to peers while the store does not
 // answer: a third of the time in which a leaving target must be known.
-const askEvery = 600 * time.Millisecond
+const peerPollInterval = 600 * time.Millisecond
 
 // askEveryMany is the same where there are many entries, of which few look at
 // the store themselves: what one of them finds reaches all within a second.
-const askEveryMany = 150 * time.Millisecond
+const peerPollIntervalMany = 150 * time.Millisecond
 
 // needsPeers reports whether this entry learns from its peers, and how often it
 // asks one.
-func (n *Node) needsPeers() (bool, time.Duration) {
-	s := n.standing()
+func (n *Node) pollsPeers() (bool, time.Duration) {
+	s := n.pollState()
 
-	if s.entries > lookers && !s.holding && !s.led {
-		return true, askEveryMany
+	if s.entries > fullRateEntries && !s.holding && !s.led {
+		return true, peerPollIntervalMany
 	}
 
-	return n.lostConfig.Load() || n.lostTargets.Load(), askEvery
+	return n.configReadsFail.Load() || n.targetReadsFail.Load(), peerPollInterval
 }
 
 // askPeers learns from the peers while the store turns this entry away, or
@@ -38,27 +38,27 @@
 // It guards against a store that serves some entries and not others: the
 // operators' change is acknowledged and in force at the others, while callers
 // here would be routed by the old one, and to targets that left.
-func (n *Node) askPeers(ctx context.Context) {
+func (n *Node) pollPeers(ctx context.Context) {
 	for ctx.Err() == nil {
-		needs, pause := n.needsPeers()
+		needs, pause := n.pollsPeers()
 		_ = clock.Sleep(ctx, jitter(pause))
 
 		if !needs {
 			continue
 		}
 
-		n.askPeer(ctx, n.peers.draw(), n.versions())
+		n.fetchFromPeer(ctx, n.peers.random(), n.versions())
 	}
 }
 
 // askPeer takes in what the peer, if there is one, has that is newer than what is
 // said to be had.
-func (n *Node) askPeer(ctx context.Context, q *peer, have news.Versions) {
+func (n *Node) fetchFromPeer(ctx context.Context, q *peer, have news.Versions) {
 	if q == nil {
 		return
 	}
 
-	ctx, cancel := context.WithTimeout(ctx, peerAnswers)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 
 	v, err := q.client.View(ctx, have)
@@ -68,22 +68,22 @@
 		return
 	}
 
-	n.takeConfig(v, q)
+	n.applyPeerConfig(v, q)
 
 	if v.List > 0 {
-		_ = n.takeView(v, q) // What it could not take in is asked for again.
+		_ = n.applyView(v, q) // What it could not take in is asked for again.
 	}
 }
 
 const (
 	// peerAnswers bounds a question to a peer whose connection may have gone
 	// silent.
-	peerAnswers = 600 * time.Millisecond
+	peerTimeout = 600 * time.Millisecond
 	// passOnEvery is the time between two questions for a new configuration, and
 	// passOnTries how many peers are asked before the holder: a configuration
 	// that half of the entries have reaches nearly all within a few.
-	passOnEvery = 60 * time.Millisecond
-	passOnTries = 16
+	configFetchInterval = 60 * time.Millisecond
+	configFetchTries = 16
 )
 
 // catchUpConfig learns the configuration that the holder has in force from the
@@ -93,30 +93,30 @@
 // configuration from the store at each change, and the holder's link does not
 // carry it to all of them at once. A few ask the holder, the others those that
 // have it.
-func (n *Node) catchUpConfig(ctx context.Context) bool {
-	tries := passOnTries
-	if draw := rand.IntN(n.standing().entries); draw < lookers { //nolint:gosec // No secret.
+func (n *Node) fetchConfig(ctx context.Context) bool {
+	tries := configFetchTries
+	if rank := rand.IntN(n.pollState().entries); rank < fullRateEntries { //nolint:gosec // No secret.
 		tries = 0
 	}
 
 	for range tries {
-		_ = clock.Sleep(ctx, jitter(passOnEvery)) // The next call looks at ctx.
+		_ = clock.Sleep(ctx, jitter(configFetchInterval)) // The next call looks at ctx.
 
-		n.askPeer(ctx, n.peers.draw(), n.lacksConfig())
+		n.fetchFromPeer(ctx, n.peers.random(), n.configOnly())
 
-		if n.inForce() {
+		if n.configCurrent() {
 			return true
 		}
 	}
 
-	n.askPeer(ctx, n.peers.of(n.holder.Known()), n.lacksConfig())
+	n.fetchFromPeer(ctx, n.peers.connection(n.holder.Known()), n.configOnly())
 
-	return n.inForce()
+	return n.configCurrent()
 }
 
 // toldPatience is for how long a configuration or a list that the holder has told
 // of may be on its way by other means.
-const toldPatience = 300 * time.Millisecond
+const announcementDelay = 300 * time.Millisecond
 
 // followConfig learns a configuration that the holder has told of while a call to
 // the store hangs.
@@ -125,10 +125,10 @@
 // waits for changes hangs for seconds, and a key that was withdrawn would open
 // the routes here for as long. At all other times watchConfig follows, so that a
 // large configuration is fetched once.
-func (n *Node) followConfig(ctx context.Context) {
-	follow(ctx, n.configTold, func() {
-		if n.askingConfig.Load() && !n.inForce() {
-			n.catchUpConfig(ctx)
+func (n *Node) fetchAnnouncedConfig(ctx context.Context) {
+	onAnnouncement(ctx, n.configAnnounced, func() {
+		if n.readingConfig.Load() && !n.configCurrent() {
+			n.fetchConfig(ctx)
 		}
 	})
 }
@@ -138,41 +138,41 @@
 //
 // It guards against the same silence as followConfig: a target that left would
 // get requests from here until the call has failed.
-func (n *Node) followList(ctx context.Context) {
-	follow(ctx, n.listTold, func() {
-		if n.askingTargets.Load() && n.lateList() && !n.askHolder(ctx) {
-			n.askPeer(ctx, n.peers.draw(), n.lacksList())
+func (n *Node) fetchAnnouncedList(ctx context.Context) {
+	onAnnouncement(ctx, n.listAnnounced, func() {
+		if n.readingTargets.Load() && n.listOutdated() && !n.fetchListFromHolder(ctx) {
+			n.fetchFromPeer(ctx, n.peers.random(), n.listOnly())
 		}
 	})
 }
 
 // follow calls learn a moment after each word that there is something newer,
 // until ctx ends.
-func follow(ctx context.Context, told <-chan struct{}, learn func()) {
+func onAnnouncement(ctx context.Context, announced <-chan struct{}, fetch func()) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-told:
+		case <-announced:
 		}
 
-		_ = clock.Sleep(ctx, toldPatience) // The loop looks at ctx.
+		_ = clock.Sleep(ctx, announcementDelay) // The loop looks at ctx.
 
-		learn()
+		fetch()
 	}
 }
 
 // lateList reports whether the holder has told of a newer list than is known.
-func (n *Node) lateList() bool {
+func (n *Node) listOutdated() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	return n.list < n.news.List
+	return n.listVersion < n.holderState.List
 }
 
 // lacksConfig returns what to tell an entry that is asked for a newer
 // configuration only.
-func (n *Node) lacksConfig() news.Versions {
+func (n *Node) configOnly() news.Versions {
 	have := n.versions()
 	have.List = math.MaxUint64
 
@@ -181,7 +181,7 @@
 
 // lacksList returns what to tell an entry that is asked for a newer list only:
 // the configuration's text is larger, and the store's link wider.
-func (n *Node) lacksList() news.Versions {
+func (n *Node) listOnly() news.Versions {
 	have := n.versions()
 	have.Config = math.MaxUint64
 
@@ -190,13 +190,13 @@
 
 // inForce reports whether the configuration that the holder told of is in force
 // here.
-func (n *Node) inForce() bool {
+func (n *Node) configCurrent() bool {
 	c := n.config()
 
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	return c != nil && c.Version >= n.news.Config
+	return c != nil && c.Version >= n.holderState.Config
 }
 
 func (n *Node) versions() news.Versions {
@@ -208,35 +208,35 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	v.List = n.list
+	v.List = n.listVersion
 
 	return v
 }
 
 // holderAnswers bounds the question for what the holder knows: an answer takes
 // a few milliseconds, and the store is asked instead after this.
-const holderAnswers = 300 * time.Millisecond
+const holderTimeout = 300 * time.Millisecond
 
 // askHolder learns from the holder how the list of targets has changed, and
 // reports whether that could be had.
 //
 // It answers the load of many entries: while targets are replaced one after the
 // other, each of them would look at the store at each change.
-func (n *Node) askHolder(ctx context.Context) bool {
-	v, q := n.holderView(ctx, n.lacksList())
+func (n *Node) fetchListFromHolder(ctx context.Context) bool {
+	v, q := n.fetchFromHolder(ctx, n.listOnly())
 
-	return q != nil && (v.List == 0 || n.takeView(v, q))
+	return q != nil && (v.List == 0 || n.applyView(v, q))
 }
 
 // holderView returns what the holder has that is newer than what is said to be
 // had, and the way to it; nil means that it does not answer.
-func (n *Node) holderView(ctx context.Context, have news.Versions) (news.View, *peer) {
-	q := n.peers.of(n.holder.Known())
+func (n *Node) fetchFromHolder(ctx context.Context, have news.Versions) (news.View, *peer) {
+	q := n.peers.connection(n.holder.Known())
 	if q == nil {
 		return news.View{}, nil
 	}
 
-	ctx, cancel := context.WithTimeout(ctx, holderAnswers)
+	ctx, cancel := context.WithTimeout(ctx, holderTimeout)
 	defer cancel()
 
 	v, err := q.client.View(ctx, have)
@@ -250,7 +250,7 @@
 }
 
 // takeConfig puts a peer's configuration in force, if it has a newer one.
-func (n *Node) takeConfig(v news.View, q *peer) {
+func (n *Node) applyPeerConfig(v news.View, from *peer) {
 	if len(v.Config) == 0 {
 		return
 	}
@@ -263,10 +263,10 @@
 	}
 
 	if err != nil {
-		n.cfg.Log.Warn().Err(err).Str("peer", string(q.ID)).Msg("configuration of a peer cannot be read")
+		n.cfg.Log.Warn().Err(err).Str("peer", string(from.ID)).Msg("configuration of a peer cannot be read")
 
 		return
 	}
 
-	n.putInForce(c)
+	n.activateConfig(c)
 }
--- a/internal/fleet/node/lending.go
+++ b/internal/fleet/node/lending.go
@@ -15,31 +15,31 @@
 
 const (
 	// lendAnswers bounds a loan, which no request waits for.
-	lendAnswers = 400 * time.Millisecond
+	delegationTimeout = 400 * time.Millisecond
 	// silentAfter is after how many calls without an answer, one after the other,
 	// an entry is passed over as a home, and silentFor for how long, doubled each
 	// time up to eight times: one that lost power stays on the list for long.
-	silentAfter  = 2
-	silentFor    = 3 * time.Second
-	silentDouble = 3
+	excludeAfter  = 2
+	excludeFor    = 3 * time.Second
+	maxExcludeDoublings = 3
 	// soonPause keeps rounds that are asked for at once apart.
-	soonPause = 20 * time.Millisecond
+	roundSpacing = 20 * time.Millisecond
 )
 
 // run lends this entry's shares until ctx ends.
 func (q *quotas) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if c := q.node.config(); c != nil && c.Teams.Limited() {
-			q.forget(c)
+			q.dropRemovedTeams(c)
 			q.round(ctx)
 		}
 
-		t := time.NewTimer(jitter(quota.Every(q.known())))
+		t := time.NewTimer(jitter(quota.Every(q.entryCount())))
 
 		select {
 		case <-ctx.Done():
-		case <-q.soon:
-			_ = clock.Sleep(ctx, soonPause) // The loop looks at ctx.
+		case <-q.roundSoon:
+			_ = clock.Sleep(ctx, roundSpacing) // The loop looks at ctx.
 		case <-t.C:
 		}
 
@@ -49,62 +49,62 @@
 
 // round lends once to all homes.
 func (q *quotas) round(ctx context.Context) {
-	if clock.Now().Sub(q.lender.Started) < formerAsked {
-		q.askFormer(ctx)
+	if clock.Now().Sub(q.delegator.Started) < formerOwnersPeriod {
+		q.queryFormerOwners(ctx)
 	}
 
-	homes := q.choose(q.present())
+	owners := q.chooseOwners(q.presentMembers())
 
 	q.mu.Lock()
-	q.homes = homes
-	loans := q.lender.Loans(homes, q.node.cfg.Self, q.known(), clock.Now())
-	returns := q.returns
-	q.returns = nil
+	q.owners = owners
+	delegations := q.delegator.Loans(owners, q.node.cfg.Self, q.entryCount(), clock.Now())
+	refunds := q.refunds
+	q.refunds = nil
 	q.mu.Unlock()
 
-	for home, loan := range loans {
-		l := news.Lending{Loan: loan, Home: home.Run, Returns: make(map[string]float64)}
+	for owner, delegation := range delegations {
+		l := news.Lending{Loan: delegation, Home: owner.Run, Returns: make(map[string]float64)}
 
-		for name, amount := range returns {
-			if homes[quota.SlotOf(quota.GroupOf(name), 0)] == home {
+		for name, amount := range refunds {
+			if owners[quota.SlotOf(quota.GroupOf(name), 0)] == owner {
 				l.Returns[name] = amount
 			}
 		}
 
-		go q.lend(ctx, home, l)
+		go q.delegate(ctx, owner, l)
 	}
 }
 
 // forget drops what is kept of teams that are no longer in force.
-func (q *quotas) forget(c *route.Config) {
+func (q *quotas) dropRemovedTeams(c *route.Config) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	q.home.Keep(func(name string) bool { return c.Teams.ByName(name) != nil })
+	q.owner.Keep(func(name string) bool { return c.Teams.ByName(name) != nil })
 }
 
 // askFormer asks the entries that may have been homes before this process
 // started.
-func (q *quotas) askFormer(ctx context.Context) {
-	former := q.former()
+func (q *quotas) queryFormerOwners(ctx context.Context) {
+	former := q.formerOwners()
 
 	q.mu.Lock()
-	q.lender.Former = former
+	q.delegator.Former = former
 	q.mu.Unlock()
 
 	for _, id := range former {
-		go q.ask(ctx, id)
+		go q.queryFormerOwner(ctx, id)
 	}
 }
 
 // ask asks an entry what it holds of this entry's share.
-func (q *quotas) ask(ctx context.Context, id instance.ID) {
-	p := q.node.peers.of(id)
+func (q *quotas) queryFormerOwner(ctx context.Context, id instance.ID) {
+	p := q.node.peers.connection(id)
 	if p == nil {
 		return
 	}
 
-	ctx, cancel := context.WithTimeout(ctx, lendAnswers)
+	ctx, cancel := context.WithTimeout(ctx, delegationTimeout)
 	defer cancel()
 
 	r, err := p.client.Lend(ctx, news.Lending{Loan: quota.Loan{Entry: q.node.cfg.Self}})
@@ -119,18 +119,18 @@
 
 		q.answered[id] = true
 
-		poke(q.soon)
+		signal(q.roundSoon)
 	}
 
 	// Where nobody listens, whoever comes started after this process.
 	if err == nil || errors.Is(err, syscall.ECONNREFUSED) {
-		q.lender.Holds(id, r.Held)
+		q.delegator.Holds(id, r.Held)
 	}
 }
 
 // lend makes one loan.
-func (q *quotas) lend(ctx context.Context, home quota.Process, l news.Lending) {
-	r, err := q.callLend(ctx, home, l)
+func (q *quotas) delegate(ctx context.Context, owner quota.Process, l news.Lending) {
+	r, err := q.sendDelegation(ctx, owner, l)
 	at := clock.Now()
 
 	q.mu.Lock()
@@ -138,44 +138,44 @@
 
 	switch {
 	case err != nil:
-		q.noteFailure(home, err)
+		q.recordFailure(owner, err)
 	case r.Released:
-		q.ended(home)
-	case r.Process != home.Run:
-		q.ended(home)
+		q.ownerEnded(owner)
+	case r.Process != owner.Run:
+		q.ownerEnded(owner)
 
 		// Whoever is on the list there has ended; a greeting brings its successor.
-		go func() { _ = q.node.peers.greet(ctx, home.ID) }() // The next round finds out.
+		go func() { _ = q.node.peers.gossip(ctx, owner.ID) }() // The next round finds out.
 	default:
-		delete(q.silent, home.ID)
+		delete(q.failures, owner.ID)
 
-		if q.lender.Heard(home, r.Stamp, at) {
-			poke(q.soon)
+		if q.delegator.Heard(owner, r.Stamp, at) {
+			signal(q.roundSoon)
 		}
 	}
 }
 
-func (q *quotas) callLend(ctx context.Context, home quota.Process, l news.Lending) (news.Receipt, error) {
-	if home == q.self() {
-		return q.takeLoan(l), nil
+func (q *quotas) sendDelegation(ctx context.Context, owner quota.Process, l news.Lending) (news.Receipt, error) {
+	if owner == q.self() {
+		return q.acceptDelegation(l), nil
 	}
 
-	p := q.way(home)
+	p := q.ownerPeer(owner)
 	if p == nil {
 		// No process has this receipt's name, so the home counts as ended.
 		return news.Receipt{}, nil
 	}
 
-	ctx, cancel := context.WithTimeout(ctx, lendAnswers)
+	ctx, cancel := context.WithTimeout(ctx, delegationTimeout)
 	defer cancel()
 
 	return p.client.Lend(ctx, l)
 }
 
 // way returns the way to a home, or nil if another process has taken its place.
-func (q *quotas) way(home quota.Process) *peer {
-	p := q.node.peers.of(home.ID)
-	if p == nil || p.Process != home.Run {
+func (q *quotas) ownerPeer(owner quota.Process) *peer {
+	p := q.node.peers.connection(owner.ID)
+	if p == nil || p.Process != owner.Run {
 		return nil
 	}
 
@@ -184,33 +184,33 @@
 
 // noteFailure notes a call to a home without an answer. The caller holds the
 // lock.
-func (q *quotas) noteFailure(home quota.Process, err error) {
+func (q *quotas) recordFailure(owner quota.Process, err error) {
 	// Only a process that has ended refuses connections.
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		q.ended(home)
+		q.ownerEnded(owner)
 	}
 
-	if q.silent == nil {
-		q.silent = make(map[instance.ID]silence)
+	if q.failures == nil {
+		q.failures = make(map[instance.ID]ownerFailures)
 	}
 
-	s := q.silent[home.ID]
-	s.calls++
+	s := q.failures[owner.ID]
+	s.consecutive++
 
-	if s.calls >= silentAfter || errors.Is(err, syscall.ECONNREFUSED) {
-		s.calls, s.until = 0, clock.Now().Add(silentFor<<min(s.times, silentDouble))
-		s.times++
+	if s.consecutive >= excludeAfter || errors.Is(err, syscall.ECONNREFUSED) {
+		s.consecutive, s.excludedUntil = 0, clock.Now().Add(excludeFor<<min(s.exclusions, maxExcludeDoublings))
+		s.exclusions++
 
-		q.node.cfg.Log.Info().Err(err).Str("home", string(home.ID)).Msg("home of limits passed over")
-		poke(q.soon)
+		q.node.cfg.Log.Info().Err(err).Str("home", string(owner.ID)).Msg("home of limits passed over")
+		signal(q.roundSoon)
 	}
 
-	q.silent[home.ID] = s
+	q.failures[owner.ID] = s
 }
 
 // ended notes that a home's process has ended or stops. The caller holds the
 // lock.
-func (q *quotas) ended(home quota.Process) {
-	q.lender.Ended(home)
-	poke(q.soon)
+func (q *quotas) ownerEnded(owner quota.Process) {
+	q.delegator.Ended(owner)
+	signal(q.roundSoon)
 }
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -80,104 +80,104 @@
 	process string
 	started time.Time
 	relay   *relay.Server
-	lines   *dispatch.Dispatcher
-	targets router.Table
+	dispatcher   *dispatch.Dispatcher
+	routing router.Table
 	holder  *holder.Holder
 	peers   peers
 	// work ends after the last request was answered.
-	work    context.Context
-	finish  context.CancelFunc
+	workCtx    context.Context
+	cancelWork  context.CancelFunc
 	pool    relay.Pool
 	budgets relay.RetryBudgets
-	page    metric.Page
+	metricsPage    metric.Page
 	metrics tally.Scope
 	calls   calls
 	traffic traffic
 	quotas  quotas
 	// confirmed is the last check that no newer configuration is in force.
-	confirmed confirmation
+	confirmation confirmation
 	// unscope ends the metrics' reports.
-	unscope io.Closer
+	metricsCloser io.Closer
 
 	routes   atomic.Pointer[route.Table]
 	listed   atomic.Bool
 	stopping atomic.Bool
 	// listBehind and configBehind ask for a look at the store at once.
-	listBehind, configBehind chan struct{}
-	packed                   packed
+	refreshList, refreshConfig chan struct{}
+	packedConfig                   packedConfig
 	// askingConfig and askingTargets say that a call to the store for the
 	// configuration or the list of targets is under way.
-	askingConfig, askingTargets atomic.Bool
+	readingConfig, readingTargets atomic.Bool
 	// configTold and listTold say that the holder has told of a newer one.
-	configTold, listTold chan struct{}
+	configAnnounced, listAnnounced chan struct{}
 	// changed asks for the routing to be built anew, asked for a report, and idled
 	// for one that may wait a little.
-	changed, asked, idled chan struct{}
+	routingChanged, reportSoon, reportIdle chan struct{}
 
 	mu   sync.Mutex
-	book inventory.Book
+	registry inventory.Book
 	// list is the store's version at which the list of targets was last read,
 	// here or by the peer that told of it.
-	list uint64
+	listVersion uint64
 	// removals are the targets that went from the list.
 	removals removals
 	// usable is the version of the list at the last change of which targets
 	// may be used.
-	usable uint64
+	usableVersion uint64
 	// lostConfig and lostTargets say that the store does not answer.
-	lostConfig, lostTargets atomic.Bool
+	configReadsFail, targetReadsFail atomic.Bool
 	// known is a copy of the book's targets that nobody changes.
-	known map[instance.ID]inventory.Target
+	targetsByID map[instance.ID]inventory.Target
 	// news are the newest of history.
-	news    holder.News
-	history holder.History
-	heard   time.Time
+	holderState    holder.News
+	holderHistory holder.History
+	holderReceived   time.Time
 	// lookedConfig and lookedTargets are up to when this entry knows what the
 	// store held.
-	lookedConfig, lookedTargets time.Time
+	configAsOf, targetsAsOf time.Time
 	// configRead is the store's version at which the configuration was last read.
-	configRead uint64
+	configReadVersion uint64
 	// absent is what targets were found not to hold.
-	absent  map[holder.Missing]absence
-	missing []holder.Missing
-	number  uint64
-	routed  routed
+	absences  map[holder.Missing]absence
+	unreportedMissing []holder.Missing
+	snapshotNumber  uint64
+	applied  appliedRouting
 }
 
 // New returns an entry. Run starts it.
 func New(cfg Config) *Node {
 	n := &Node{
 		cfg: cfg, process: uuid.NewString(), started: time.Now(),
-		listBehind: make(chan struct{}, 1), configBehind: make(chan struct{}, 1), configTold: make(chan struct{}, 1), listTold: make(chan struct{}, 1),
-		changed: make(chan struct{}, 1), asked: make(chan struct{}, 1), idled: make(chan struct{}, 1),
-		absent: make(map[holder.Missing]absence),
+		refreshList: make(chan struct{}, 1), refreshConfig: make(chan struct{}, 1), configAnnounced: make(chan struct{}, 1), listAnnounced: make(chan struct{}, 1),
+		routingChanged: make(chan struct{}, 1), reportSoon: make(chan struct{}, 1), reportIdle: make(chan struct{}, 1),
+		absences: make(map[holder.Missing]absence),
 	}
 	n.budgets.Limit = cfg.Allowance
 	n.budgets.Started = time.Now()
-	n.budgets.SetEntries(sharersUnknown)
-	n.work, n.finish = context.WithCancel(context.Background())
+	n.budgets.SetEntries(assumedEntries)
+	n.workCtx, n.cancelWork = context.WithCancel(context.Background())
 	n.peers.node = n
-	n.quotas.node, n.quotas.soon = n, make(chan struct{}, 1)
-	n.quotas.home.Slack, n.quotas.lender.Started = cfg.Slack, clock.Now()
-	n.peers.roll.Self = roll.Member{ID: cfg.Self, Address: cfg.Peers, Process: n.process, Born: time.Now(), Strength: cfg.Strength}
+	n.quotas.node, n.quotas.roundSoon = n, make(chan struct{}, 1)
+	n.quotas.owner.Slack, n.quotas.delegator.Started = cfg.Slack, clock.Now()
+	n.peers.members.Self = roll.Member{ID: cfg.Self, Address: cfg.Peers, Process: n.process, Born: time.Now(), Strength: cfg.Strength}
 
-	n.metrics, n.unscope = n.page.Scope()
+	n.metrics, n.metricsCloser = n.metricsPage.Scope()
 	n.calls.metrics, n.traffic.metrics = n.metrics, n.metrics
-	n.cfg.Table = countedTable{cfg.Table, n.noteTable}
-	n.lines = dispatch.New(dispatch.Config{
-		Table: &n.targets, Entries: n.entries, CellOf: func(string) int { return 0 },
+	n.cfg.Table = countedTable{cfg.Table, n.countTableCall}
+	n.dispatcher = dispatch.New(dispatch.Config{
+		Table: &n.routing, Entries: n.entryCount, CellOf: func(string) int { return 0 },
 		Prerequisite: holder.ModelOf,
-		OnQueued:     func(string) { poke(n.asked) }, OnReplicaIdle: func() { poke(n.idled) }, OnNotice: n.noticed, MaxWaiting: maxWaiting,
+		OnQueued:     func(string) { signal(n.reportSoon) }, OnReplicaIdle: func() { signal(n.reportIdle) }, OnNotice: n.broadcastNotice, MaxWaiting: maxWaiting,
 	})
 	n.relay = &relay.Server{
-		Protocol: cfg.Protocol, Dispatcher: n.lines, Pool: &n.pool, Budgets: &n.budgets,
-		Table: n.routes.Load, RefreshTable: n.confirm, Limits: &n.quotas, OnModelAbsent: n.foundAbsent, OnAddressMoved: n.foundMoved, OnUnreachable: n.foundUnreached, Log: cfg.Log, Metrics: n.metrics,
+		Protocol: cfg.Protocol, Dispatcher: n.dispatcher, Pool: &n.pool, Budgets: &n.budgets,
+		Table: n.routes.Load, RefreshTable: n.confirm, Limits: &n.quotas, OnModelAbsent: n.recordAbsent, OnAddressMoved: n.markMoved, OnUnreachable: n.recordUnreachable, Log: cfg.Log, Metrics: n.metrics,
 	}
 	n.holder = holder.New(holder.Config{
-		Self: cfg.Self, Strength: cfg.Strength, Process: n.process, Table: n.cfg.Table, Engines: cfg.Engines, Terms: terms, TurnPause: cfg.TurnPause,
+		Self: cfg.Self, Strength: cfg.Strength, Process: n.process, Table: n.cfg.Table, Engines: cfg.Engines, Terms: leaseTiming, TurnPause: cfg.TurnPause,
 		Targets: n.knownTargets, Routes: n.config,
 		Peers:   func() []holder.Candidate { return candidates(n.peers.alive()) },
-		Rivals:  func() []holder.Candidate { return candidates(n.peers.likely()) },
+		Rivals:  func() []holder.Candidate { return candidates(n.peers.aliveOrNew()) },
 		Publish: n.publish, Log: cfg.Log,
 	})
 
@@ -192,14 +192,14 @@
 
 // terms are the lease's times. A take-over after a death takes the duration
 // and a look, about three seconds; a renewal has two tries before it lapses.
-var terms = lease.Timing{
+var leaseTiming = lease.Timing{
 	Duration: 2500 * time.Millisecond,
 	Renew:    800 * time.Millisecond,
 	Poll:     400 * time.Millisecond,
 	Stagger:  200 * time.Millisecond,
 }
 
-func poke(ch chan struct{}) {
+func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
@@ -231,7 +231,7 @@
 	}
 
 	// Work goes on while requests are answered after ctx has ended.
-	work, cancel := n.work, n.finish
+	work, cancel := n.workCtx, n.cancelWork
 	defer cancel()
 
 	front := &http.Server{
@@ -239,17 +239,17 @@
 		ConnContext: relay.WithConn,
 		ErrorLog:    nil,
 	}
-	ready := &http.Server{Handler: n.checks(), ReadHeaderTimeout: headerTimeout}
-	metrics := &http.Server{Handler: &n.page, ReadHeaderTimeout: headerTimeout}
+	ready := &http.Server{Handler: n.readinessHandler(), ReadHeaderTimeout: headerTimeout}
+	metrics := &http.Server{Handler: &n.metricsPage, ReadHeaderTimeout: headerTimeout}
 
 	var wg sync.WaitGroup
 
-	wg.Go(func() { n.served("callers", front.Serve(callers)) })
-	wg.Go(func() { n.served("readiness", ready.Serve(checks)) })
-	wg.Go(func() { n.served("metrics", metrics.Serve(metricsListener)) })
-	wg.Go(func() { n.served("peers", news.Serve(work, peerListener, n)) })
+	wg.Go(func() { n.logServeError("callers", front.Serve(callers)) })
+	wg.Go(func() { n.logServeError("readiness", ready.Serve(checks)) })
+	wg.Go(func() { n.logServeError("metrics", metrics.Serve(metricsListener)) })
+	wg.Go(func() { n.logServeError("peers", news.Serve(work, peerListener, n)) })
 
-	for _, loop := range []func(context.Context){n.watchConfig, n.followConfig, n.watchTargets, n.followList, n.askPeers, n.keepRouting, n.report, n.holder.Run, n.peers.run, n.quotas.run, n.sweep, n.logCalls} {
+	for _, loop := range []func(context.Context){n.watchConfig, n.fetchAnnouncedConfig, n.watchTargets, n.fetchAnnouncedList, n.pollPeers, n.maintainRouting, n.report, n.holder.Run, n.peers.run, n.quotas.run, n.sweep, n.logCalls} {
 		wg.Go(func() { loop(work) })
 	}
 
@@ -260,11 +260,11 @@
 
 	_ = ready.Close()
 	_ = metrics.Close()
-	_ = n.unscope.Close()
+	_ = n.metricsCloser.Close()
 	_ = peerListener.Close()
 
 	cancel()
-	waitAtMost(&wg, stopMargin/2) //nolint:mnd // The rest is for the process to end.
+	waitTimeout(&wg, stopMargin/2) //nolint:mnd // The rest is for the process to end.
 	n.cfg.Log.Info().Msg("stopped")
 
 	return nil
@@ -280,7 +280,7 @@
 	maxHeader = 32 << 10
 )
 
-func (n *Node) served(what string, err error) {
+func (n *Node) logServeError(what string, err error) {
 	if !n.stopping.Load() && !errors.Is(err, http.ErrServerClosed) {
 		n.cfg.Log.Error().Err(err).Str("listener", what).Msg("listener ended")
 	}
@@ -290,10 +290,10 @@
 	// crossing is how long after the stop's beginning idle connections stay
 	// open: the platform needs two checks, one a second, to send no more
 	// callers, and a request may be on its way.
-	crossing = 2300 * time.Millisecond
+	readinessDelay = 2300 * time.Millisecond
 	// streamTime is how long before the end of the grace a stream must have
 	// begun, so that most have ended by then.
-	streamTime = 4 * time.Second
+	streamMargin = 4 * time.Second
 	// stopMargin is how long before the end of the grace the process is done.
 	stopMargin = 500 * time.Millisecond
 )
@@ -316,13 +316,13 @@
 	var leave sync.WaitGroup
 
 	leave.Go(func() { n.holder.Release(ctx) })
-	leave.Go(func() { n.peers.leave(ctx) })
+	leave.Go(func() { n.peers.announceLeaving(ctx) })
 
-	_ = clock.Sleep(ctx, crossing-time.Since(began)) // It ends early only at the end of the grace.
+	_ = clock.Sleep(ctx, readinessDelay-time.Since(began)) // It ends early only at the end of the grace.
 
 	n.relay.EnterPhase(relay.RefusingNewStreams)
 
-	ending := time.AfterFunc(n.cfg.Grace-streamTime-time.Since(began), func() { n.relay.EnterPhase(relay.RefusingUnstartedStreams) })
+	ending := time.AfterFunc(n.cfg.Grace-streamMargin-time.Since(began), func() { n.relay.EnterPhase(relay.RefusingUnstartedStreams) })
 	defer ending.Stop()
 
 	if err := front.Shutdown(ctx); err != nil {
@@ -332,12 +332,12 @@
 	_ = front.Close()
 
 	// What is left of it has had the whole grace time.
-	waitAtMost(&leave, stopMargin/2) //nolint:mnd // See Run.
+	waitTimeout(&leave, stopMargin/2) //nolint:mnd // See Run.
 }
 
 // waitAtMost waits for wg, but not for longer than d: a call to a silent store
 // must not keep a process past its grace time.
-func waitAtMost(wg *sync.WaitGroup, d time.Duration) {
+func waitTimeout(wg *sync.WaitGroup, d time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	defer cancel()
 
@@ -345,7 +345,7 @@
 }
 
 // checks answers the platform's readiness checks.
-func (n *Node) checks() http.Handler {
+func (n *Node) readinessHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+n.cfg.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !n.ready() {
@@ -370,7 +370,7 @@
 }
 
 // entries returns how many entries share the targets.
-func (n *Node) entries() int {
+func (n *Node) entryCount() int {
 	if known := len(n.peers.alive()) + 1; known > 1 {
 		return known
 	}
@@ -382,17 +382,17 @@
 // others are known: the largest site that is planned for has 91, and after a
 // loss of power all of its entries start at once. What requests earn themselves
 // does not depend on it.
-const sharersUnknown = 100
+const assumedEntries = 100
 
 // sharers returns how many entries may share the repeats: all that are listed,
 // also those that have not been heard yet or any more, so that the shares
 // together are never more than there is.
-func (n *Node) sharers() int {
+func (n *Node) retrySharers() int {
 	if known := n.peers.listed(); known > 0 {
 		return max(known+1, n.cfg.Entries)
 	}
 
-	return sharersUnknown
+	return assumedEntries
 }
 
 // candidates returns the members as those that may hold the lease.
@@ -407,7 +407,7 @@
 }
 
 // gauge shows what this entry has and believes.
-func (n *Node) gauge() {
+func (n *Node) updateGauges() {
 	n.metrics.Gauge("running").Update(float64(n.relay.Running()))
 	n.metrics.Gauge("peers").Update(float64(len(n.peers.alive())))
 	n.metrics.Gauge("targets").Update(float64(len(n.knownTargets())))
@@ -428,27 +428,27 @@
 	}
 }
 
-const sweepEvery = 500 * time.Millisecond
+const sweepInterval = 500 * time.Millisecond
 
 // sweep closes idle connections to targets and keeps the budgets' share.
 func (n *Node) sweep(ctx context.Context) {
-	for clock.Sleep(ctx, sweepEvery) == nil {
+	for clock.Sleep(ctx, sweepInterval) == nil {
 		n.pool.CloseExpired(time.Now())
-		n.gauge()
-		n.budgets.SetEntries(n.sharers())
+		n.updateGauges()
+		n.budgets.SetEntries(n.retrySharers())
 
 		n.mu.Lock()
 
-		expired := n.book.Expire(time.Now())
+		expired := n.registry.Expire(time.Now())
 		if expired {
-			n.known = n.book.Targets()
+			n.targetsByID = n.registry.Targets()
 			// What expired is gone without a change of the list.
-			n.removals = removals{base: n.list + 1}
+			n.removals = removals{base: n.listVersion + 1}
 		}
 		n.mu.Unlock()
 
 		if expired {
-			poke(n.changed)
+			signal(n.routingChanged)
 		}
 	}
 }
--- a/internal/fleet/node/pace.go
+++ b/internal/fleet/node/pace.go
@@ -9,16 +9,16 @@
 // lookers is how many entries look at the store as often as one would alone.
 // Where there are more, each looks so much more seldom that all together call no
 // more often, and hears of changes from the others.
-const lookers = 8
+const fullRateEntries = 8
 
 // spread returns the pause between two looks of one entry, of so many, that all
 // together look as often as the first few would with a pause of d.
-func spread(d time.Duration, entries int) time.Duration {
-	return d * time.Duration(max(lookers, entries)) / lookers
+func scaleInterval(d time.Duration, entries int) time.Duration {
+	return d * time.Duration(max(fullRateEntries, entries)) / fullRateEntries
 }
 
 // standing is what an entry's next look at the store depends on.
-type standing struct {
+type pollState struct {
 	// entries is how many entries there are, this one included.
 	entries int
 	// holding says that this entry holds the lease, and led that another does
@@ -28,10 +28,10 @@
 
 // pauses are the times between two looks of an entry that holds the lease, of
 // one that is told of changes, and of one that is not.
-type pauses struct {
+type polling struct {
 	holding, led, alone time.Duration
 	// polls says that a look itself waits for changes, for about the pause.
-	polls bool
+	longPoll bool
 }
 
 // due reports whether an entry that looked so long ago looks again, where it
@@ -40,22 +40,22 @@
 // It answers the load of hundreds of entries whose holder has died or no longer
 // hears the store: all of them would look, each as often as one alone. The draw
 // keeps those that looked long ago from looking all at once.
-func (p pauses) due(waited time.Duration, s standing, draw float64) bool {
+func (p polling) due(waited time.Duration, s pollState, draw float64) bool {
 	switch {
 	case s.holding:
-		return p.polls || waited >= p.holding
+		return p.longPoll || waited >= p.holding
 	case s.led:
-		return waited >= spread(p.led, s.entries)
-	case s.entries <= lookers:
-		return p.polls || waited >= p.alone
+		return waited >= scaleInterval(p.led, s.entries)
+	case s.entries <= fullRateEntries:
+		return p.longPoll || waited >= p.alone
 	default:
-		return waited >= p.alone && draw < float64(turnCheck)/float64(spread(p.alone, s.entries))
+		return waited >= p.alone && draw < float64(pollTick)/float64(scaleInterval(p.alone, s.entries))
 	}
 }
 
 // jittered returns the pauses with a part of chance, so that entries do not
 // call in step.
-func (p pauses) jittered() pauses {
+func (p polling) jittered() polling {
 	p.holding, p.led, p.alone = jitter(p.holding), jitter(p.led), jitter(p.alone)
 
 	return p
@@ -63,13 +63,13 @@
 
 // standing returns what the next look depends on. Until this entry has read who
 // there is, it takes the others for many.
-func (n *Node) standing() standing {
+func (n *Node) pollState() pollState {
 	entries := n.peers.listed() + 1
 	if !n.peers.scanned.Load() {
-		entries = max(entries, sharersUnknown)
+		entries = max(entries, assumedEntries)
 	}
 
-	return standing{entries: entries, holding: n.holder.Holding(), led: n.led()}
+	return pollState{entries: entries, holding: n.holder.Holding(), led: n.led()}
 }
 
 // jitter spreads d by a fifth, so that entries do not call in step.
@@ -83,33 +83,33 @@
 // It guards against the end of an outage: the list that the holder tells then
 // lacks targets whose entries lapsed meanwhile, and which are kept for a moment
 // by whoever knows of the outage. The caller holds the lock.
-func (n *Node) noteStore(age time.Duration, now time.Time) {
-	if n.peers.listed() < lookers {
+func (n *Node) recordHolderStoreAge(age time.Duration, now time.Time) {
+	if n.peers.listed() < fullRateEntries {
 		return
 	}
 
-	if age >= holderKnows {
-		n.book.Failed(now)
+	if age >= maxHolderStoreAge {
+		n.registry.Failed(now)
 	} else {
-		n.book.Heard(now)
+		n.registry.Heard(now)
 	}
 }
 
 // turn waits until it is time to look at the store. A word that the holder has
 // something newer ends the wait too, unless catchUp gets it from there.
-func (n *Node) turn(ctx context.Context, p pauses, behind <-chan struct{}, catchUp func(context.Context) bool) {
-	looked := time.Now()
+func (n *Node) waitForNextRead(ctx context.Context, p polling, refresh <-chan struct{}, fetch func(context.Context) bool) {
+	lastRead := time.Now()
 	p = p.jittered()
-	t := time.NewTicker(turnCheck)
+	t := time.NewTicker(pollTick)
 
 	defer t.Stop()
 
-	for !p.due(time.Since(looked), n.standing(), rand.Float64()) { //nolint:gosec // No secret.
+	for !p.due(time.Since(lastRead), n.pollState(), rand.Float64()) { //nolint:gosec // No secret.
 		select {
 		case <-ctx.Done():
 			return
-		case <-behind:
-			if !catchUp(ctx) {
+		case <-refresh:
+			if !fetch(ctx) {
 				return
 			}
 		case <-t.C:
--- a/internal/fleet/node/pace_test.go
+++ b/internal/fleet/node/pace_test.go
@@ -10,15 +10,15 @@
 
 // looks returns how many times in each second of the time given entries look,
 // of which the last looked so long ago at its beginning.
-func looks(p pauses, s standing, ago, span time.Duration) []int {
+func countReads(p polling, s pollState, ago, span time.Duration) []int {
 	r := rand.New(rand.NewPCG(1, 2))
 	out := make([]int, span/time.Second)
 
 	for range s.entries {
 		waited := time.Duration(r.Int64N(int64(ago)))
 
-		for at := time.Duration(0); at < span; at += turnCheck {
-			if waited += turnCheck; p.due(waited, s, r.Float64()) {
+		for at := time.Duration(0); at < span; at += pollTick {
+			if waited += pollTick; p.due(waited, s, r.Float64()) {
 				out[at/time.Second]++
 				waited = 0
 			}
@@ -36,21 +36,21 @@
 	const span = 30 * time.Second
 
 	for name, tc := range map[string]struct {
-		s   standing
+		s   pollState
 		ago time.Duration
 	}{
-		"led, 8":               {standing{entries: 8, led: true}, 15 * time.Second},
-		"led, 195":             {standing{entries: 195, led: true}, 300 * time.Second},
-		"led, 1,191":           {standing{entries: 1191, led: true}, 2000 * time.Second},
-		"alone, 8":             {standing{entries: 8}, 600 * time.Millisecond},
-		"holder dies at 195":   {standing{entries: 195}, 300 * time.Second},
-		"holder dies at 1,191": {standing{entries: 1191}, 2000 * time.Second},
+		"led, 8":               {pollState{entries: 8, led: true}, 15 * time.Second},
+		"led, 195":             {pollState{entries: 195, led: true}, 300 * time.Second},
+		"led, 1,191":           {pollState{entries: 1191, led: true}, 2000 * time.Second},
+		"alone, 8":             {pollState{entries: 8}, 600 * time.Millisecond},
+		"holder dies at 195":   {pollState{entries: 195}, 300 * time.Second},
+		"holder dies at 1,191": {pollState{entries: 1191}, 2000 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			// What a few entries alone do in a second.
-			most := 2 * int(lookers*time.Second/targetsPause)
+			most := 2 * int(fullRateEntries*time.Second/targetsInterval)
 
-			for second, n := range looks(targetsPauses, tc.s, tc.ago, span) {
+			for second, n := range countReads(targetsPolling, tc.s, tc.ago, span) {
 				assert.Assert(t, n <= most, "%d looks in second %d, at most %d", n, second, most)
 			}
 		})
@@ -62,14 +62,14 @@
 // the 2 s in which it must be in force.
 func TestSomebodyLooks(t *testing.T) {
 	for _, entries := range []int{1, 3, 8, 9, 20, 195, 1191} {
-		s := standing{entries: entries}
+		s := pollState{entries: entries}
 		r := rand.New(rand.NewPCG(3, 4))
 		waited := make([]time.Duration, entries)
 		last, longest := time.Duration(0), time.Duration(0)
 
-		for at := time.Duration(0); at < time.Minute; at += turnCheck {
+		for at := time.Duration(0); at < time.Minute; at += pollTick {
 			for i := range waited {
-				if waited[i] += turnCheck; targetsPauses.due(waited[i], s, r.Float64()) {
+				if waited[i] += pollTick; targetsPolling.due(waited[i], s, r.Float64()) {
 					longest, last, waited[i] = max(longest, at-last), at, 0
 				}
 			}
@@ -83,8 +83,8 @@
 // however many there are.
 func TestHolderLooksMost(t *testing.T) {
 	for _, entries := range []int{3, 1191} {
-		s := standing{entries: entries, holding: true}
-		assert.Assert(t, targetsPauses.due(targetsPauseHolding, s, 1))
-		assert.Assert(t, configPauses.due(0, s, 1))
+		s := pollState{entries: entries, holding: true}
+		assert.Assert(t, targetsPolling.due(targetsIntervalHolding, s, 1))
+		assert.Assert(t, configPolling.due(0, s, 1))
 	}
 }
--- a/internal/fleet/node/packed.go
+++ b/internal/fleet/node/packed.go
@@ -12,14 +12,14 @@
 // It answers the load of a large configuration on many small machines: the text
 // of thousands of routes takes long on a small machine's link, and whoever asks a
 // peer that is still sending it to others gives up and asks again.
-type packed struct {
+type packedConfig struct {
 	mu      sync.Mutex
 	version uint64
 	data    []byte
 }
 
 // of returns the compressed text of a version.
-func (p *packed) of(version uint64, text []byte) ([]byte, error) {
+func (p *packedConfig) of(version uint64, text []byte) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
--- a/internal/fleet/node/packed_test.go
+++ b/internal/fleet/node/packed_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestPacked(t *testing.T) {
-	var p packed
+	var p packedConfig
 
 	first, err := p.of(1, []byte("one"))
 	assert.NilError(t, err)
--- a/internal/fleet/node/peers.go
+++ b/internal/fleet/node/peers.go
@@ -20,11 +20,11 @@
 
 const (
 	// greetEvery is the time between two rounds of greetings.
-	greetEvery = 1500 * time.Millisecond
+	gossipInterval = 1500 * time.Millisecond
 	// scanEvery is the time between two looks at the entries' rows of a few
 	// entries. They tell each other of new ones, so this is for the case that
 	// nobody did.
-	scanEvery = 60 * time.Second
+	scanInterval = 60 * time.Second
 	// entryPrefix is above the rows of all entries.
 	entryPrefix = "entry/"
 )
@@ -37,8 +37,8 @@
 	scanned atomic.Bool
 
 	mu   sync.Mutex
-	roll roll.Roll
-	ways map[instance.ID]*peer
+	members roll.Roll
+	connections map[instance.ID]*peer
 }
 
 // peer is the way to another entry's process.
@@ -47,7 +47,7 @@
 
 	client *news.Client
 	// kick says that there is something to tell it.
-	kick   chan struct{}
+	updatePending   chan struct{}
 	cancel context.CancelFunc
 }
 
@@ -63,32 +63,32 @@
 func (p *peers) run(ctx context.Context) {
 	var (
 		scanned time.Time
-		link    link
+		status    storeStatus
 	)
 
 	written := false
 
-	p.askSeeds(ctx)
+	p.contactSeeds(ctx)
 
 	for ctx.Err() == nil {
 		if !written {
-			written = p.write(ctx) == nil
+			written = p.writeRow(ctx) == nil
 		}
 
-		if scanned.IsZero() || time.Since(scanned) > spread(scanEvery, p.listed()+1) {
-			err := p.scan(ctx)
+		if scanned.IsZero() || time.Since(scanned) > scaleInterval(scanInterval, p.listed()+1) {
+			err := p.scanRows(ctx)
 			if err == nil && written {
 				scanned = time.Now()
 			}
 
-			link.note(p.node, "entries", err)
+			status.record(p.node, "entries", err)
 		}
 
-		p.round(ctx)
+		p.gossipRound(ctx)
 
-		pause := greetEvery
+		pause := gossipInterval
 		if scanned.IsZero() {
-			pause = failurePause
+			pause = minBackoff
 		}
 
 		_ = clock.Sleep(ctx, jitter(pause))
@@ -97,14 +97,14 @@
 
 // askSeeds finds the first peers without the store, which may turn this entry
 // away.
-func (p *peers) askSeeds(ctx context.Context) {
+func (p *peers) contactSeeds(ctx context.Context) {
 	for _, address := range p.node.cfg.Seeds {
 		if address == p.node.cfg.Peers {
 			continue
 		}
 
 		go func() {
-			c := &news.Client{Caller: frame.Caller{Address: address, Count: p.node.traffic.note}}
+			c := &news.Client{Caller: frame.Caller{Address: address, Count: p.node.traffic.count}}
 			defer c.Close()
 
 			if err := p.exchange(ctx, c); err != nil {
@@ -115,8 +115,8 @@
 }
 
 // write puts this entry's row into the store, whatever stands there.
-func (p *peers) write(ctx context.Context) error {
-	value, err := json.Marshal(entryRow{Address: p.node.cfg.Peers.String(), Process: p.node.process, BornMs: p.roll.Self.Born.UnixMilli(), Strength: p.node.cfg.Strength})
+func (p *peers) writeRow(ctx context.Context) error {
+	value, err := json.Marshal(entryRow{Address: p.node.cfg.Peers.String(), Process: p.node.process, BornMs: p.members.Self.Born.UnixMilli(), Strength: p.node.cfg.Strength})
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 	return err
 }
 
-func (p *peers) scan(ctx context.Context) error {
+func (p *peers) scanRows(ctx context.Context) error {
 	rows, err := table.ScanAll(ctx, p.node.cfg.Table, entryPrefix)
 	if err != nil {
 		return err
@@ -153,7 +153,7 @@
 			continue
 		}
 
-		p.roll.Meet(roll.Member{
+		p.members.Meet(roll.Member{
 			ID: instance.ID(r.Key[len(entryPrefix):]), Address: at, Process: row.Process, Born: time.UnixMilli(row.BornMs), Strength: row.Strength,
 		}, time.Now())
 	}
@@ -162,31 +162,31 @@
 }
 
 // round greets those whose turn it is.
-func (p *peers) round(ctx context.Context) {
+func (p *peers) gossipRound(ctx context.Context) {
 	p.mu.Lock()
-	members := p.roll.Beat(time.Now())
-	p.tidy()
+	members := p.members.Beat(time.Now())
+	p.closeStale()
 	p.mu.Unlock()
 
 	for _, m := range members {
-		go func() { _ = p.greet(ctx, m.ID) }() // Who does not answer is found out by its missing beats.
+		go func() { _ = p.gossip(ctx, m.ID) }() // Who does not answer is found out by its missing beats.
 	}
 }
 
 // tidy ends the ways to processes that are no longer listed. The caller holds
 // the lock.
-func (p *peers) tidy() {
-	for id, q := range p.ways {
-		if m, ok := p.roll.Get(id); !ok || m.Process != q.Process {
+func (p *peers) closeStale() {
+	for id, q := range p.connections {
+		if m, ok := p.members.Get(id); !ok || m.Process != q.Process {
 			q.cancel()
 			q.client.Close()
-			delete(p.ways, id)
+			delete(p.connections, id)
 		}
 	}
 }
 
-func (p *peers) greet(ctx context.Context, id instance.ID) error {
-	q := p.of(id)
+func (p *peers) gossip(ctx context.Context, id instance.ID) error {
+	q := p.connection(id)
 	if q == nil {
 		return nil
 	}
@@ -205,23 +205,23 @@
 			return err
 		}
 
-		p.take(got)
+		p.applyGreeting(got)
 
 		if g.Want != nil || got.Pulses == nil {
 			return nil
 		}
 
-		if g.Want = p.takePulses(got.Pulses); g.Want == nil {
+		if g.Want = p.applyHeartbeats(got.Pulses); g.Want == nil {
 			return nil
 		}
 	}
 }
 
-func (p *peers) takePulses(pulses []roll.Pulse) []uint64 {
+func (p *peers) applyHeartbeats(heartbeats []roll.Pulse) []uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return p.roll.TakePulses(pulses, time.Now())
+	return p.members.TakePulses(heartbeats, time.Now())
 }
 
 // greeting returns this entry's own greeting.
@@ -229,37 +229,37 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return news.Greeting{From: p.roll.Self, Digest: p.roll.Digest()}
+	return news.Greeting{From: p.members.Self, Digest: p.members.Digest()}
 }
 
 // take takes in a greeting or the answer to one. It reports whether the
 // other's list is the same.
-func (p *peers) take(g news.Greeting) bool {
+func (p *peers) applyGreeting(g news.Greeting) bool {
 	now := time.Now()
 
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	p.roll.Heard(g.From, now)
+	p.members.Heard(g.From, now)
 
 	for _, m := range g.Known {
-		p.roll.Meet(m, now)
+		p.members.Meet(m, now)
 	}
 
-	return p.roll.Take(g.Digest, now)
+	return p.members.Take(g.Digest, now)
 }
 
 // answer takes in a greeting and returns what the sender does not know or asks
 // for.
 func (p *peers) answer(g news.Greeting) news.Greeting {
-	same := p.take(g)
+	same := p.applyGreeting(g)
 
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	out := news.Greeting{From: p.roll.Self, Digest: p.roll.Digest(), Known: p.roll.Named(g.Want)}
+	out := news.Greeting{From: p.members.Self, Digest: p.members.Digest(), Known: p.members.Named(g.Want)}
 	if !same && len(g.Want) == 0 {
-		out.Pulses = p.roll.Pulses()
+		out.Pulses = p.members.Pulses()
 	}
 
 	return out
@@ -270,18 +270,18 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return p.roll.Alive(time.Now())
+	return p.members.Alive(time.Now())
 }
 
 // draw returns the way to one of the peers that are alive, drawn at random, or
 // nil if there is none.
-func (p *peers) draw() *peer {
+func (p *peers) random() *peer {
 	alive := p.alive()
 	if len(alive) == 0 {
 		return nil
 	}
 
-	return p.of(alive[rand.IntN(len(alive))].ID) //nolint:gosec // No secret.
+	return p.connection(alive[rand.IntN(len(alive))].ID) //nolint:gosec // No secret.
 }
 
 // all returns all peers that are listed, alive or not.
@@ -289,7 +289,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return p.roll.All()
+	return p.members.All()
 }
 
 // self returns this process as the others see it.
@@ -297,16 +297,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return p.roll.Self
+	return p.members.Self
 }
 
 // likely returns the peers that are alive or may be, because nothing was heard
 // of them yet.
-func (p *peers) likely() []roll.Member {
+func (p *peers) aliveOrNew() []roll.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return p.roll.Likely(time.Now())
+	return p.members.Likely(time.Now())
 }
 
 // listed returns how many peers are known, alive or not.
@@ -314,14 +314,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return p.roll.Len()
+	return p.members.Len()
 }
 
 // leave tells the peers that this process is about to end.
-func (p *peers) leave(ctx context.Context) {
+func (p *peers) announceLeaving(ctx context.Context) {
 	p.mu.Lock()
-	p.roll.Self.Leaving = true
-	all := p.roll.All()
+	p.members.Self.Leaving = true
+	all := p.members.All()
 	p.mu.Unlock()
 
 	var wg sync.WaitGroup
@@ -330,7 +330,7 @@
 	for _, m := range all[:min(len(all), roll.Everybody)] {
 		wg.Go(func() {
 			// A peer that does not hear it finds out by itself.
-			_ = p.greet(ctx, m.ID)
+			_ = p.gossip(ctx, m.ID)
 		})
 	}
 
@@ -338,22 +338,22 @@
 }
 
 // of returns the way to a peer, or nil if there is no such entry.
-func (p *peers) of(id instance.ID) *peer {
+func (p *peers) connection(id instance.ID) *peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return p.way(id)
+	return p.connect(id)
 }
 
 // way returns the way to a peer's present process, made when it is first
 // needed. The caller holds the lock.
-func (p *peers) way(id instance.ID) *peer {
-	m, ok := p.roll.Get(id)
+func (p *peers) connect(id instance.ID) *peer {
+	m, ok := p.members.Get(id)
 	if !ok {
 		return nil
 	}
 
-	old := p.ways[id]
+	old := p.connections[id]
 	if old != nil && old.Process == m.Process {
 		return old
 	}
@@ -363,40 +363,40 @@
 		old.client.Close()
 	}
 
-	ctx, cancel := context.WithCancel(p.node.work)
-	q := &peer{Member: m, kick: make(chan struct{}, 1), cancel: cancel, client: &news.Client{Caller: frame.Caller{Address: m.Address, Count: p.node.traffic.note}}}
+	ctx, cancel := context.WithCancel(p.node.workCtx)
+	q := &peer{Member: m, updatePending: make(chan struct{}, 1), cancel: cancel, client: &news.Client{Caller: frame.Caller{Address: m.Address, Count: p.node.traffic.count}}}
 
-	if p.ways == nil {
-		p.ways = make(map[instance.ID]*peer)
+	if p.connections == nil {
+		p.connections = make(map[instance.ID]*peer)
 	}
 
-	p.ways[id] = q
+	p.connections[id] = q
 
-	go p.tell(ctx, q)
+	go p.sendUpdates(ctx, q)
 
 	return q
 }
 
 // publish tells all peers that this holder has news.
-func (p *peers) publish() {
+func (p *peers) notifyAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	for _, m := range p.roll.All() {
-		poke(p.way(m.ID).kick)
+	for _, m := range p.members.All() {
+		signal(p.connect(m.ID).updatePending)
 	}
 }
 
 // tellPace is the least time between two tellings of one peer for each peer
 // that there is, so that telling all takes the holder at most about a fifth of a
 // core (BenchmarkHear). There is none where everybody is greeted.
-const tellPace = 250 * time.Microsecond
+const sendSpacing = 250 * time.Microsecond
 
 // tell sends the newest news to the peer, one after the other. Older ones that
 // a slow peer did not take are left out.
-func (p *peers) tell(ctx context.Context, q *peer) {
+func (p *peers) sendUpdates(ctx context.Context, q *peer) {
 	var (
-		has   holder.Edition
+		acknowledged   holder.Edition
 		known bool
 	)
 
@@ -404,10 +404,10 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-q.kick:
+		case <-q.updatePending:
 		}
 
-		d, holding := p.node.newsSince(has, known)
+		d, holding := p.node.deltaSince(acknowledged, known)
 		if !holding {
 			continue
 		}
@@ -415,12 +415,12 @@
 		got, err := q.client.Hear(ctx, d)
 		if err != nil {
 			p.node.cfg.Log.Debug().Err(err).Str("peer", string(q.ID)).Msg("peer not told")
-		} else if has, known = got, true; got != d.Edition() && d.Base != (holder.Edition{}) {
-			poke(q.kick)
+		} else if acknowledged, known = got, true; got != d.Edition() && d.Base != (holder.Edition{}) {
+			signal(q.updatePending)
 		}
 
 		if peers := p.listed(); peers > roll.Everybody {
-			_ = clock.Sleep(ctx, time.Duration(peers)*tellPace)
+			_ = clock.Sleep(ctx, time.Duration(peers)*sendSpacing)
 		}
 	}
 }
--- a/internal/fleet/node/quotas.go
+++ b/internal/fleet/node/quotas.go
@@ -18,10 +18,10 @@
 const (
 	// drawAnswers bounds the question whether a request is within its limit: a
 	// lost packet is sent again within it.
-	drawAnswers = 250 * time.Millisecond
+	consumeTimeout = 250 * time.Millisecond
 	// mostOfLimit is the part of a limit from which on the refusals of its homes
 	// are final. Below it another home may have room.
-	mostOfLimit = 0.75
+	decisiveCoverage = 0.75
 )
 
 // quotas keeps this entry's part in the teams' limits: it lends its shares,
@@ -30,33 +30,33 @@
 type quotas struct {
 	node *Node
 	// soon asks for a round of loans at once.
-	soon chan struct{}
+	roundSoon chan struct{}
 
 	mu     sync.Mutex
-	home   quota.Home
-	lender quota.Lender
+	owner   quota.Home
+	delegator quota.Lender
 	// homes are the present homes of the limits.
-	homes  quota.Homes
-	silent map[instance.ID]silence
+	owners  quota.Homes
+	failures map[instance.ID]ownerFailures
 	// answered are the entries that have answered since this process started.
 	answered map[instance.ID]bool
 	// returns are what was counted for requests that did not run, by team.
-	returns map[string]float64
+	refunds map[string]float64
 }
 
 // silence is how an entry did not answer.
-type silence struct {
+type ownerFailures struct {
 	// calls had no answer since it was last passed over, times how often it was.
-	calls, times int
-	until        time.Time
+	consecutive, exclusions int
+	excludedUntil        time.Time
 }
 
-func (q *quotas) stamp() quota.Stamp { return quota.Stamp(clock.Now().Sub(q.node.started)) }
+func (q *quotas) uptime() quota.Stamp { return quota.Stamp(clock.Now().Sub(q.node.started)) }
 
 // known returns how many entries share the limits.
-func (q *quotas) known() int {
+func (q *quotas) entryCount() int {
 	if !q.node.peers.scanned.Load() {
-		return sharersUnknown
+		return assumedEntries
 	}
 
 	return q.node.peers.listed() + 1
@@ -70,18 +70,18 @@
 	// unknownPatience is for how long a request waits for homes that decide on most
 	// of its team's limit: after a restart of all entries shares are lent within a
 	// term.
-	unknownPatience = 800 * time.Millisecond
-	unknownPause    = 40 * time.Millisecond
+	undecidedTimeout = 800 * time.Millisecond
+	undecidedPause    = 40 * time.Millisecond
 )
 
 // Charge implements relay.Limiter. It refuses at once what is beyond the limit,
 // and waits a moment only where its homes do not know yet what is left.
 func (q *quotas) Charge(ctx context.Context, t *team.Team, cost float64) relay.ChargeResult {
-	until := time.Now().Add(unknownPatience)
+	until := time.Now().Add(undecidedTimeout)
 
 	for {
-		out, known := q.chargeNow(ctx, t, cost)
-		if known || time.Now().After(until) || clock.Sleep(ctx, max(unknownPause, out.RetryAfter)) != nil {
+		out, final := q.tryCharge(ctx, t, cost)
+		if final || time.Now().After(until) || clock.Sleep(ctx, max(undecidedPause, out.RetryAfter)) != nil {
 			return out
 		}
 	}
@@ -89,12 +89,12 @@
 
 // chargeNow puts the request to the homes of its team's limit. It reports whether
 // their answer is final.
-func (q *quotas) chargeNow(ctx context.Context, t *team.Team, cost float64) (out relay.ChargeResult, known bool) {
+func (q *quotas) tryCharge(ctx context.Context, t *team.Team, cost float64) (out relay.ChargeResult, final bool) {
 	out.Unknown = true
-	settling := false
+	filling := false
 
-	for _, home := range q.candidates(quota.GroupOf(t.Name)) {
-		d, err := q.draw(ctx, home, news.Drawing{Team: t.Name, Cost: cost})
+	for _, owner := range q.ownersToAsk(quota.GroupOf(t.Name)) {
+		d, err := q.consume(ctx, owner, news.Drawing{Team: t.Name, Cost: cost})
 
 		switch {
 		case err != nil || d.Stranger || d.Released || d.Part == 0:
@@ -107,19 +107,19 @@
 
 		out.Unknown = false
 		out.Coverage += d.Part
-		settling = settling || d.Settling
+		filling = filling || d.Settling
 
-		if out.Coverage >= mostOfLimit {
+		if out.Coverage >= decisiveCoverage {
 			break
 		}
 	}
 
-	return out, out.Coverage >= mostOfLimit && !settling
+	return out, out.Coverage >= decisiveCoverage && !filling
 }
 
 // candidates returns whom to ask about a group: first who have this entry's own
 // share, then who should.
-func (q *quotas) candidates(group int) []quota.Process {
+func (q *quotas) ownersToAsk(group int) []quota.Process {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
@@ -127,18 +127,18 @@
 	now := clock.Now()
 
 	for part := range quota.Parts {
-		if bound, ok := q.lender.With(quota.SlotOf(group, part), now); ok && !slices.Contains(out, bound) {
-			out = append(out, bound)
+		if owner, ok := q.delegator.With(quota.SlotOf(group, part), now); ok && !slices.Contains(out, owner) {
+			out = append(out, owner)
 		}
 	}
 
 	for part := range quota.Parts {
-		if home := q.homes[quota.SlotOf(group, part)]; home.ID != "" && !slices.Contains(out, home) {
-			out = append(out, home)
+		if owner := q.owners[quota.SlotOf(group, part)]; owner.ID != "" && !slices.Contains(out, owner) {
+			out = append(out, owner)
 		}
 	}
 
-	answering := slices.DeleteFunc(slices.Clone(out), func(p quota.Process) bool { return q.passedOver(p.ID, now) })
+	answering := slices.DeleteFunc(slices.Clone(out), func(p quota.Process) bool { return q.excluded(p.ID, now) })
 	if len(answering) > 0 {
 		return answering
 	}
@@ -147,22 +147,22 @@
 }
 
 // draw asks a home whether a request may run.
-func (q *quotas) draw(ctx context.Context, home quota.Process, d news.Drawing) (news.Drawn, error) {
-	if home == q.self() {
+func (q *quotas) consume(ctx context.Context, owner quota.Process, d news.Drawing) (news.Drawn, error) {
+	if owner == q.self() {
 		return q.decide(d), nil
 	}
 
-	p := q.way(home)
+	p := q.ownerPeer(owner)
 	if p == nil {
 		q.mu.Lock()
 		defer q.mu.Unlock()
 
-		q.ended(home)
+		q.ownerEnded(owner)
 
 		return news.Drawn{Released: true}, nil
 	}
 
-	ctx, cancel := context.WithTimeout(ctx, drawAnswers)
+	ctx, cancel := context.WithTimeout(ctx, consumeTimeout)
 	defer cancel()
 
 	got, err := p.client.Draw(ctx, d)
@@ -172,11 +172,11 @@
 
 	switch {
 	case err != nil && !errors.Is(err, context.Canceled):
-		q.noteFailure(home, err)
-	case err == nil && (got.Released || got.Process != home.Run):
-		q.ended(home)
+		q.recordFailure(owner, err)
+	case err == nil && (got.Released || got.Process != owner.Run):
+		q.ownerEnded(owner)
 	case err == nil:
-		delete(q.silent, home.ID)
+		delete(q.failures, owner.ID)
 	}
 
 	return got, err
@@ -187,16 +187,16 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	if q.returns == nil {
-		q.returns = make(map[string]float64)
+	if q.refunds == nil {
+		q.refunds = make(map[string]float64)
 	}
 
-	q.returns[t.Name] += cost
+	q.refunds[t.Name] += cost
 }
 
 // decide decides as a home.
 func (q *quotas) decide(d news.Drawing) news.Drawn {
-	c, entries := q.node.config(), q.known()
+	c, entries := q.node.config(), q.entryCount()
 	out := news.Drawn{Process: q.node.process, Released: q.node.stopping.Load()}
 
 	if out.Released || c == nil {
@@ -215,26 +215,26 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	out.Answer = q.home.Draw(t.Name, t.Limit, d.Cost, entries, q.stamp())
+	out.Answer = q.owner.Draw(t.Name, t.Limit, d.Cost, entries, q.uptime())
 
 	return out
 }
 
 // takeLoan takes in a loan as a home.
-func (q *quotas) takeLoan(l news.Lending) news.Receipt {
-	c, entries := q.node.config(), q.known()
+func (q *quotas) acceptDelegation(l news.Lending) news.Receipt {
+	c, entries := q.node.config(), q.entryCount()
 
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	now := q.stamp()
-	out := news.Receipt{Process: q.node.process, Stamp: now, Held: q.home.Held(l.Entry, now), Released: q.node.stopping.Load()}
+	now := q.uptime()
+	out := news.Receipt{Process: q.node.process, Stamp: now, Held: q.owner.Held(l.Entry, now), Released: q.node.stopping.Load()}
 
 	if out.Released || l.Home != q.node.process {
 		return out
 	}
 
-	q.home.Lend(l.Loan, entries, now)
+	q.owner.Lend(l.Loan, entries, now)
 
 	if c == nil {
 		return out
@@ -242,7 +242,7 @@
 
 	for name, amount := range l.Returns {
 		if t := c.Teams.ByName(name); t != nil {
-			q.home.Return(name, t.Limit, amount, entries, now)
+			q.owner.Return(name, t.Limit, amount, entries, now)
 		}
 	}
 
@@ -254,11 +254,11 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	q.home.Release(q.stamp())
+	q.owner.Release(q.uptime())
 }
 
 // Lend implements news.Handler.
-func (n *Node) Lend(l news.Lending) news.Receipt { return n.quotas.takeLoan(l) }
+func (n *Node) Lend(l news.Lending) news.Receipt { return n.quotas.acceptDelegation(l) }
 
 // Draw implements news.Handler.
 func (n *Node) Draw(d news.Drawing) news.Drawn { return n.quotas.decide(d) }
--- a/internal/fleet/node/routing.go
+++ b/internal/fleet/node/routing.go
@@ -20,21 +20,21 @@
 	// newsLast is for how long a holder's news go before the list of targets:
 	// the holder knows of its own loads seconds before the list does, but
 	// without a holder the list is all there is.
-	newsLast = 4 * time.Second
+	holderStateTTL = 4 * time.Second
 	// absentFor is for how long a target that said that it does not hold a
 	// model is not asked for it again, doubled up to absentMost each time.
-	absentFor  = 150 * time.Millisecond
-	absentMost = 1200 * time.Millisecond
+	minAbsentPause  = 150 * time.Millisecond
+	maxAbsentPause = 1200 * time.Millisecond
 	// absentForget is how long after the last such word the doubling ends.
-	absentForget = 3 * time.Second
+	absentReset = 3 * time.Second
 	// rebuildRest is how many times as long as building the routing took it is
 	// not built again, so that it takes at most a tenth of a core.
-	rebuildRest = 9
+	rebuildPauseFactor = 9
 )
 
 // keepRouting builds the routing anew whenever what it rests on changes, and
 // when a load is expected to end.
-func (n *Node) keepRouting(ctx context.Context) {
+func (n *Node) maintainRouting(ctx context.Context) {
 	next := time.NewTimer(time.Hour)
 	defer next.Stop()
 
@@ -42,7 +42,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.changed:
+		case <-n.routingChanged:
 		case <-next.C:
 		}
 
@@ -50,7 +50,7 @@
 		again := n.rebuild(began)
 
 		// Changes of hundreds of engines come faster than they can be taken in.
-		_ = clock.Sleep(ctx, rebuildRest*time.Since(began)) // The loop looks at ctx.
+		_ = clock.Sleep(ctx, rebuildPauseFactor*time.Since(began)) // The loop looks at ctx.
 
 		next.Reset(again)
 	}
@@ -64,76 +64,76 @@
 	}
 
 	n.mu.Lock()
-	b := builder{routed: &n.routed, now: now, count: 1 + uint64(n.heard.Sub(n.started)/reportEvery), next: now.Add(newsLast), absent: n.absent, coming: make(map[string]time.Time), snapshot: router.Snapshot{Holder: n.cfg.Self, Token: 1}}
-	n.number++
-	b.snapshot.Number = n.number
-	b.snapshot.Targets = make([]router.TargetInfo, 0, len(n.known))
-	n.routed.begin(&b.snapshot)
+	b := builder{applied: &n.applied, now: now, countID: 1 + uint64(n.holderReceived.Sub(n.started)/reportInterval), expires: now.Add(holderStateTTL), absences: n.absences, upcoming: make(map[string]time.Time), snapshot: router.Snapshot{Holder: n.cfg.Self, Token: 1}}
+	n.snapshotNumber++
+	b.snapshot.Number = n.snapshotNumber
+	b.snapshot.Targets = make([]router.TargetInfo, 0, len(n.targetsByID))
+	n.applied.beginSnapshot(&b.snapshot)
 
-	stations := make(map[instance.ID]*holder.Station, len(n.news.Stations))
+	engines := make(map[instance.ID]*holder.Station, len(n.holderState.Stations))
 
-	if now.Sub(n.heard) < newsLast {
-		for i := range n.news.Stations {
-			stations[n.news.Stations[i].Target] = &n.news.Stations[i]
+	if now.Sub(n.holderReceived) < holderStateTTL {
+		for i := range n.holderState.Stations {
+			engines[n.holderState.Stations[i].Target] = &n.holderState.Stations[i]
 		}
 	}
 
-	for key, a := range n.absent {
-		if now.Sub(a.until) > absentForget {
-			delete(n.absent, key)
+	for key, a := range n.absences {
+		if now.Sub(a.until) > absentReset {
+			delete(n.absences, key)
 		}
 	}
 
-	for _, t := range n.known {
+	for _, t := range n.targetsByID {
 		if service, ok := c.Services[t.Service]; ok {
-			b.add(t, service, stations[t.ID])
+			b.addTarget(t, service, engines[t.ID])
 		}
 	}
 
-	if now.Sub(n.heard) < newsLast {
-		b.expect(n.news.Waits)
+	if now.Sub(n.holderReceived) < holderStateTTL {
+		b.addPredictions(n.holderState.Waits)
 	}
 	n.mu.Unlock()
-	b.wait()
+	b.addWaits()
 
-	n.routed.finish(&b.snapshot)
-	n.targets.Apply(&b.snapshot, now)
-	n.lines.WakeQueues()
+	n.applied.addRemovedTargets(&b.snapshot)
+	n.routing.Apply(&b.snapshot, now)
+	n.dispatcher.WakeQueues()
 
-	return max(time.Millisecond, b.next.Sub(now))
+	return max(time.Millisecond, b.expires.Sub(now))
 }
 
 // routed is what was applied last. Only keepRouting uses it. The zero value has
 // applied nothing.
-type routed struct {
-	number  uint64
-	targets map[instance.ID]*routedTarget
+type appliedRouting struct {
+	lastSnapshot  uint64
+	targets map[instance.ID]*appliedTarget
 	// keys are those that were made before.
 	keys map[keyParts]string
 }
 
 // routedTarget is a target with what it had ready.
-type routedTarget struct {
+type appliedTarget struct {
 	address netip.AddrPort
 	keys    []string
 	// number is that of the last snapshot that had it.
-	number uint64
+	lastSnapshot uint64
 }
 
 type keyParts struct{ service, model, adapter string }
 
 // keysKept bounds the keys that are kept, those of models that are gone among
 // them.
-const keysKept = 16384
+const maxKeys = 16384
 
 // key returns the key of what a target holds.
-func (r *routed) key(service, model, adapter string) string {
+func (r *appliedRouting) key(service, model, adapter string) string {
 	parts := keyParts{service, model, adapter}
 	if key, ok := r.keys[parts]; ok {
 		return key
 	}
 
-	if r.keys == nil || len(r.keys) >= keysKept {
+	if r.keys == nil || len(r.keys) >= maxKeys {
 		r.keys = make(map[keyParts]string)
 	}
 
@@ -152,38 +152,38 @@
 // It answers the load of many entries and engines: one of hundreds of engines
 // changes dozens of times a second, and to build all replicas anew each time
 // takes most of an entry's processor.
-func (r *routed) begin(s *router.Snapshot) {
-	s.Base = r.number
-	r.number = s.Number
+func (r *appliedRouting) beginSnapshot(s *router.Snapshot) {
+	s.Base = r.lastSnapshot
+	r.lastSnapshot = s.Number
 
 	if r.targets == nil {
-		r.targets = make(map[instance.ID]*routedTarget)
+		r.targets = make(map[instance.ID]*appliedTarget)
 	}
 }
 
 // note adds to the snapshot what has changed of a target.
-func (r *routed) note(s *router.Snapshot, id instance.ID, at netip.AddrPort, keys []string) {
+func (r *appliedRouting) addChanges(s *router.Snapshot, id instance.ID, address netip.AddrPort, keys []string) {
 	t := r.targets[id]
 	if t == nil {
-		t = &routedTarget{address: at}
+		t = &appliedTarget{address: address}
 		r.targets[id] = t
 	}
 
 	// At a new address it is another target.
-	if t.address != at {
+	if t.address != address {
 		remove(s, id, t.keys)
-		t.address, t.keys = at, nil
+		t.address, t.keys = address, nil
 	}
 
-	t.number = s.Number
+	t.lastSnapshot = s.Number
 
 	if slices.Equal(t.keys, keys) {
 		return
 	}
 
-	remove(s, id, without(t.keys, keys))
+	remove(s, id, difference(t.keys, keys))
 
-	for _, key := range without(keys, t.keys) {
+	for _, key := range difference(keys, t.keys) {
 		s.Added = append(s.Added, router.Replica{Target: id, Model: key})
 	}
 
@@ -191,9 +191,9 @@
 }
 
 // finish adds to the snapshot the targets that are gone.
-func (r *routed) finish(s *router.Snapshot) {
+func (r *appliedRouting) addRemovedTargets(s *router.Snapshot) {
 	for id, t := range r.targets {
-		if t.number != s.Number {
+		if t.lastSnapshot != s.Number {
 			remove(s, id, t.keys)
 			s.RemovedTargets = append(s.RemovedTargets, id)
 			delete(r.targets, id)
@@ -208,7 +208,7 @@
 }
 
 // without returns the keys that are not among the others.
-func without(keys, others []string) []string {
+func difference(keys, others []string) []string {
 	var out []string
 
 	for _, key := range keys {
@@ -222,21 +222,21 @@
 
 // builder makes a routing snapshot of what is known of the targets.
 type builder struct {
-	routed *routed
+	applied *appliedRouting
 	now    time.Time
 	// next is when the snapshot is out of date by itself.
-	next   time.Time
-	absent map[holder.Missing]absence
+	expires   time.Time
+	absences map[holder.Missing]absence
 	// count tells apart the holder's counts of what runs on targets.
-	count    uint64
+	countID    uint64
 	snapshot router.Snapshot
 	// keys are what the target that is added has ready.
 	keys []string
 	// coming is when the first replica of a key is ready that is not yet.
-	coming map[string]time.Time
+	upcoming map[string]time.Time
 }
 
-func (b *builder) add(t inventory.Target, service route.Service, s *holder.Station) {
+func (b *builder) addTarget(t inventory.Target, service route.Service, s *holder.Station) {
 	info := router.TargetInfo{
 		ID: t.ID, DataCentre: t.DataCentre, Address: t.Address, Speed: 1, Slots: t.Slots,
 		Leaving: t.Leaving, Incarnation: strconv.FormatInt(t.Born, 10), ReportAge: reportAge,
@@ -245,8 +245,8 @@
 	e := service.Engine
 	if e == nil {
 		b.snapshot.Targets = append(b.snapshot.Targets, info)
-		b.keys = append(b.keys[:0], b.routed.key(t.Service, "", ""))
-		b.routed.note(&b.snapshot, t.ID, t.Address, b.keys)
+		b.keys = append(b.keys[:0], b.applied.key(t.Service, "", ""))
+		b.applied.addChanges(&b.snapshot, t.ID, t.Address, b.keys)
 
 		return
 	}
@@ -257,7 +257,7 @@
 		s = nil
 	}
 
-	info.CountID = b.count
+	info.CountID = b.countID
 	if s != nil {
 		info.Running, info.WaitingEntries = s.Running, s.Lines
 	}
@@ -266,15 +266,15 @@
 
 	b.keys = b.keys[:0]
 
-	for _, h := range heldBy(t, s) {
-		b.replica(t.ID, b.routed.key(t.Service, h.Model, ""), h.Ready)
+	for _, h := range residentModels(t, s) {
+		b.addReplica(t.ID, b.applied.key(t.Service, h.Model, ""), h.Ready)
 
 		for _, a := range h.Adapters {
-			b.replica(t.ID, b.routed.key(t.Service, h.Model, a.Name), clock.Later(h.Ready, a.Ready))
+			b.addReplica(t.ID, b.applied.key(t.Service, h.Model, a.Name), clock.Later(h.Ready, a.Ready))
 		}
 	}
 
-	b.routed.note(&b.snapshot, t.ID, t.Address, b.keys)
+	b.applied.addChanges(&b.snapshot, t.ID, t.Address, b.keys)
 }
 
 // reportAge makes a death that was found stand until a newer process is
@@ -283,7 +283,7 @@
 
 // heldBy returns what a target holds: by the holder's news if there are any,
 // or else by the list.
-func heldBy(t inventory.Target, s *holder.Station) []holder.Held {
+func residentModels(t inventory.Target, s *holder.Station) []holder.Held {
 	if s != nil {
 		return s.Held
 	}
@@ -301,20 +301,20 @@
 }
 
 // replica adds what is ready by now, and notes when the rest will be.
-func (b *builder) replica(id instance.ID, key string, ready time.Time) {
-	if len(b.absent) > 0 {
-		if a, ok := b.absent[holder.Missing{Target: id, Key: key}]; ok {
+func (b *builder) addReplica(id instance.ID, key string, ready time.Time) {
+	if len(b.absences) > 0 {
+		if a, ok := b.absences[holder.Missing{Target: id, Key: key}]; ok {
 			ready = clock.Later(ready, a.until)
 		}
 	}
 
 	if ready.After(b.now) {
-		if ready.Before(b.next) {
-			b.next = ready
+		if ready.Before(b.expires) {
+			b.expires = ready
 		}
 
-		if first, ok := b.coming[key]; !ok || ready.Before(first) {
-			b.coming[key] = ready
+		if first, ok := b.upcoming[key]; !ok || ready.Before(first) {
+			b.upcoming[key] = ready
 		}
 
 		return
@@ -324,18 +324,18 @@
 }
 
 // expect notes models that the holder foretells.
-func (b *builder) expect(waits []holder.Wait) {
+func (b *builder) addPredictions(waits []holder.Wait) {
 	for _, w := range waits {
-		if _, ok := b.coming[w.Key]; !ok && w.Ready.After(b.now) {
-			b.coming[w.Key] = w.Ready
+		if _, ok := b.upcoming[w.Key]; !ok && w.Ready.After(b.now) {
+			b.upcoming[w.Key] = w.Ready
 		}
 	}
 }
 
 // wait says for which keys a replica is on its way, so that requests which
 // cannot wait so long are refused at once.
-func (b *builder) wait() {
-	for key, ready := range b.coming {
+func (b *builder) addWaits() {
+	for key, ready := range b.upcoming {
 		b.snapshot.Waits = append(b.snapshot.Waits, router.Wait{Model: key, Ready: ready.Sub(b.now)})
 	}
 }
@@ -349,35 +349,35 @@
 }
 
 // foundAbsent notes that a target does not hold a key.
-func (n *Node) foundAbsent(t *router.Target, key string) {
+func (n *Node) recordAbsent(t *router.Target, key string) {
 	m := holder.Missing{Target: t.ID, Key: key}
 
 	n.mu.Lock()
 
-	now, a := time.Now(), n.absent[m]
+	now, a := time.Now(), n.absences[m]
 	if now.After(a.until) {
 		// Requests that were sent together count once.
-		a.pause = min(max(absentFor, 2*a.pause), absentMost)
+		a.pause = min(max(minAbsentPause, 2*a.pause), maxAbsentPause)
 		a.until = now.Add(a.pause)
-		n.absent[m] = a
+		n.absences[m] = a
 	}
 
-	n.missing = append(n.missing, m)
+	n.unreportedMissing = append(n.unreportedMissing, m)
 	n.mu.Unlock()
-	poke(n.changed)
-	poke(n.asked)
+	signal(n.routingChanged)
+	signal(n.reportSoon)
 }
 
 // foundUnreached tells the holder that a target takes no connection.
-func (n *Node) foundUnreached(t *router.Target) {
+func (n *Node) recordUnreachable(t *router.Target) {
 	n.mu.Lock()
-	n.missing = append(n.missing, holder.Missing{Target: t.ID})
+	n.unreportedMissing = append(n.unreportedMissing, holder.Missing{Target: t.ID})
 	n.mu.Unlock()
-	poke(n.asked)
+	signal(n.reportSoon)
 }
 
 // foundMoved notes that another instance has a target's address.
-func (n *Node) foundMoved(t *router.Target) {
+func (n *Node) markMoved(t *router.Target) {
 	if t.MarkLeaving() {
 		n.cfg.Log.Warn().Str("target", string(t.ID)).Stringer("address", t.Address).Msg("address belongs to another target")
 	}
--- a/internal/fleet/node/routing_test.go
+++ b/internal/fleet/node/routing_test.go
@@ -21,24 +21,24 @@
 )
 
 // knowing returns an entry that knows engines and a holder's news of them.
-func knowing(engines int) *Node {
+func nodeWithEngines(engines int) *Node {
 	n := New(Config{Self: "self", Entries: 1, Log: zerolog.New(io.Discard)})
 	n.routes.Store(route.NewTable(&route.Config{Version: 1, Services: map[string]route.Service{"s": {Name: "s", Engine: &route.Engine{Slots: 12}}}}))
 
-	n.known = make(map[instance.ID]inventory.Target)
-	n.heard = time.Now()
+	n.targetsByID = make(map[instance.ID]inventory.Target)
+	n.holderReceived = time.Now()
 
 	for i := range engines {
 		id := instance.ID(fmt.Sprintf("t%03d", i))
-		n.known[id] = inventory.Target{ID: id, Service: "s", Slots: 12, Born: 1, Address: netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(1+i))}
-		n.news.Stations = append(n.news.Stations, station(id, i))
+		n.targetsByID[id] = inventory.Target{ID: id, Service: "s", Slots: 12, Born: 1, Address: netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(1+i))}
+		n.holderState.Stations = append(n.holderState.Stations, engineState(id, i))
 	}
 
 	return n
 }
 
 // station holds four models of a few hundred, one of them with adapters.
-func station(id instance.ID, i int) holder.Station {
+func engineState(id instance.ID, i int) holder.Station {
 	s := holder.Station{Target: id, Born: 1, Running: i % 7}
 
 	for k := range 4 {
@@ -57,11 +57,11 @@
 // entries up to 45 times a second. Whole snapshots took 3.6 ms, 3.0 MB and
 // 24,600 allocations each; changes take 0.7 ms, 0.4 MB and 1,700.
 func BenchmarkRebuild(b *testing.B) {
-	n := knowing(152)
+	n := nodeWithEngines(152)
 	n.rebuild(time.Now())
 
 	for i := 0; b.Loop(); i++ {
-		n.news.Stations[i%152].Held[0].Model = fmt.Sprintf("m%d", i%431)
+		n.holderState.Stations[i%152].Held[0].Model = fmt.Sprintf("m%d", i%431)
 		n.rebuild(time.Now())
 	}
 }
@@ -73,38 +73,38 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const engines = 5
 
-		n, now := knowing(engines), time.Now()
+		n, now := nodeWithEngines(engines), time.Now()
 
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
 			i := rapid.IntRange(0, engines-1).Draw(t, "engine")
 			id := instance.ID(fmt.Sprintf("t%03d", i))
-			s := &n.news.Stations[i]
+			s := &n.holderState.Stations[i]
 
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				s.Held = s.Held[:len(s.Held)/2]
 			case 1:
-				*s = station(id, rapid.IntRange(0, 9).Draw(t, "models"))
+				*s = engineState(id, rapid.IntRange(0, 9).Draw(t, "models"))
 			case 2:
 				s.Held = append(s.Held, holder.Held{Model: "late", Ready: now.Add(time.Second)})
 			case 3:
-				delete(n.known, id)
+				delete(n.targetsByID, id)
 			case 4:
-				n.known[id] = inventory.Target{ID: id, Service: "s", Slots: 12, Born: 2, Address: netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(100+i))}
+				n.targetsByID[id] = inventory.Target{ID: id, Service: "s", Slots: 12, Born: 2, Address: netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(100+i))}
 			case 5:
-				n.heard = now
+				n.holderReceived = now
 			}
 
 			n.rebuild(now)
 		}
 
-		fresh := knowing(engines)
-		fresh.known, fresh.news, fresh.heard = n.known, n.news, n.heard
+		fresh := nodeWithEngines(engines)
+		fresh.targetsByID, fresh.holderState, fresh.holderReceived = n.targetsByID, n.holderState, n.holderReceived
 		fresh.rebuild(now)
 
-		assert.DeepEqual(t, replicas(&n.targets), replicas(&fresh.targets))
-		assert.Equal(t, len(n.targets.All()), len(fresh.targets.All()))
+		assert.DeepEqual(t, replicas(&n.routing), replicas(&fresh.routing))
+		assert.Equal(t, len(n.routing.All()), len(fresh.routing.All()))
 	})
 }
 
--- a/internal/fleet/node/traffic.go
+++ b/internal/fleet/node/traffic.go
@@ -26,7 +26,7 @@
 	c.sums[kind] += n
 }
 
-func (c *counts) counted() map[string]int {
+func (c *counts) totals() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -41,7 +41,7 @@
 	metrics tally.Scope
 }
 
-func (t *traffic) note(method string, bytes int) {
+func (t *traffic) count(method string, bytes int) {
 	_, kind, _ := strings.Cut(method, ".")
 	kind = strings.ToLower(kind)
 
--- a/internal/fleet/node/view.go
+++ b/internal/fleet/node/view.go
@@ -12,7 +12,7 @@
 
 // takeView takes in a peer's list of targets, if it is newer. It reports
 // whether this entry's list is as new now.
-func (n *Node) takeView(v news.View, q *peer) bool {
+func (n *Node) applyView(v news.View, from *peer) bool {
 	now := time.Now()
 	changes := make([]inventory.Change, 0, len(v.Targets)+len(v.Gone))
 
@@ -26,8 +26,8 @@
 
 	n.mu.Lock()
 
-	newer := v.List > n.list
-	if !newer || v.Base != 0 && v.Base != n.list {
+	newer := v.List > n.listVersion
+	if !newer || v.Base != 0 && v.Base != n.listVersion {
 		n.mu.Unlock()
 
 		return !newer
@@ -37,13 +37,13 @@
 		changes = append(changes, n.unlisted(v)...)
 	}
 
-	n.list, n.usable = v.List, v.List
+	n.listVersion, n.usableVersion = v.List, v.List
 	n.apply(changes, v.Base == 0, now)
 	n.mu.Unlock()
 
 	n.listed.Store(true)
-	n.cfg.Log.Info().Str("peer", string(q.ID)).Uint64("list", v.List).Uint64("base", v.Base).Int("targets", len(v.Targets)).Msg("targets learnt from a peer")
-	poke(n.changed)
+	n.cfg.Log.Info().Str("peer", string(from.ID)).Uint64("list", v.List).Uint64("base", v.Base).Int("targets", len(v.Targets)).Msg("targets learnt from a peer")
+	signal(n.routingChanged)
 	n.holder.Wake()
 
 	return true
@@ -53,27 +53,27 @@
 // noted. The caller holds the lock.
 func (n *Node) apply(changes []inventory.Change, whole bool, now time.Time) {
 	if whole {
-		n.book.Replace(changes, now)
+		n.registry.Replace(changes, now)
 	} else {
-		n.book.Apply(changes, now)
+		n.registry.Apply(changes, now)
 	}
 
-	n.known = n.book.Targets()
-	n.removals.note(changes, whole, n.list)
+	n.targetsByID = n.registry.Targets()
+	n.removals.record(changes, whole, n.listVersion)
 }
 
 // unlisted returns the removals of the targets that are not on a peer's list.
 // The caller holds the lock.
 func (n *Node) unlisted(v news.View) []inventory.Change {
 	listed := make(map[uint64]bool, len(v.Listed))
-	for _, sum := range v.Listed {
-		listed[sum] = true
+	for _, hash := range v.Listed {
+		listed[hash] = true
 	}
 
 	var out []inventory.Change
 
-	for id := range n.known {
-		if !listed[listSum(id)] {
+	for id := range n.targetsByID {
+		if !listed[idHash(id)] {
 			out = append(out, inventory.Change{ID: id, Removed: true})
 		}
 	}
@@ -82,7 +82,7 @@
 }
 
 // listSum stands for a target's id where a whole list of them is told.
-func listSum(id instance.ID) uint64 { return xxhash.Sum64String(string(id)) }
+func idHash(id instance.ID) uint64 { return xxhash.Sum64String(string(id)) }
 
 // removals are the targets that went from the list and the versions at which
 // they did, so that peers can be told only what is new to them. The zero value
@@ -90,23 +90,23 @@
 type removals struct {
 	// base is the version from which on every removal is known.
 	base uint64
-	at   map[instance.ID]uint64
+	removedAt   map[instance.ID]uint64
 }
 
 // removalsKept bounds the removals that are kept: twice the 3,300 targets of the
 // size to design for.
-const removalsKept = 6600
+const maxRemovals = 6600
 
-func (r *removals) note(changed []inventory.Change, whole bool, version uint64) {
-	if whole || r.at == nil || len(r.at) > removalsKept {
-		r.base, r.at = version, make(map[instance.ID]uint64)
+func (r *removals) record(changed []inventory.Change, whole bool, version uint64) {
+	if whole || r.removedAt == nil || len(r.removedAt) > maxRemovals {
+		r.base, r.removedAt = version, make(map[instance.ID]uint64)
 	}
 
 	for _, c := range changed {
 		if c.Removed || c.Err != nil {
-			r.at[c.ID] = version
+			r.removedAt[c.ID] = version
 		} else {
-			delete(r.at, c.ID)
+			delete(r.removedAt, c.ID)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 	var out news.View
 
 	if c := n.config(); c != nil && c.Version > have.Config {
-		data, err := n.packed.of(c.Version, c.Text)
+		data, err := n.packedConfig.of(c.Version, c.Text)
 		if err != nil {
 			n.cfg.Log.Warn().Err(err).Uint64("version", c.Version).Msg("configuration cannot be packed")
 		}
@@ -127,8 +127,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	if n.list > have.List {
-		n.listSince(have.List, &out)
+	if n.listVersion > have.List {
+		n.addListChanges(have.List, &out)
 	}
 
 	return out
@@ -140,18 +140,18 @@
 // It answers the load of hundreds of entries that start or hear no holder: each
 // asks others several times a second, and the whole list of thousands of targets
 // takes a link a third of a second.
-func (n *Node) listSince(version uint64, out *news.View) {
-	out.List, out.Base = n.list, version
+func (n *Node) addListChanges(version uint64, out *news.View) {
+	out.List, out.Base = n.listVersion, version
 
-	sums := version != 0 && version < n.removals.base
-	if sums {
-		out.Listed = make([]uint64, 0, len(n.known))
+	withHashes := version != 0 && version < n.removals.base
+	if withHashes {
+		out.Listed = make([]uint64, 0, len(n.targetsByID))
 	}
 
-	for id, t := range n.known {
+	for id, t := range n.targetsByID {
 		// One that is kept for a while has no entry: its peer must judge itself,
 		// or it would keep it for good.
-		if n.book.Missing(id) {
+		if n.registry.Missing(id) {
 			continue
 		}
 
@@ -159,29 +159,29 @@
 			out.Targets = append(out.Targets, t)
 		}
 
-		if sums {
-			out.Listed = append(out.Listed, listSum(id))
+		if withHashes {
+			out.Listed = append(out.Listed, idHash(id))
 		}
 	}
 
-	if version != 0 && !sums {
-		out.Gone = n.goneSince(version)
+	if version != 0 && !withHashes {
+		out.Gone = n.removedSince(version)
 	}
 }
 
 // goneSince returns the targets that went from the list since a version, and
 // those that are kept for a while though they did. The caller holds the lock.
-func (n *Node) goneSince(version uint64) []instance.ID {
+func (n *Node) removedSince(version uint64) []instance.ID {
 	var out []instance.ID
 
-	for id, at := range n.removals.at {
+	for id, at := range n.removals.removedAt {
 		if at > version {
 			out = append(out, id)
 		}
 	}
 
-	for id := range n.known {
-		if n.book.Missing(id) && n.removals.at[id] == 0 {
+	for id := range n.targetsByID {
+		if n.registry.Missing(id) && n.removals.removedAt[id] == 0 {
 			out = append(out, id)
 		}
 	}
--- a/internal/fleet/node/view_test.go
+++ b/internal/fleet/node/view_test.go
@@ -17,7 +17,7 @@
 )
 
 // listing returns an entry that follows no store by itself.
-func listing(id instance.ID) *Node { return New(Config{Self: id, Entries: 1, Log: zerolog.Nop()}) }
+func nodeWithoutStore(id instance.ID) *Node { return New(Config{Self: id, Entries: 1, Log: zerolog.Nop()}) }
 
 func (n *Node) leaving() map[instance.ID]bool {
 	out := make(map[instance.ID]bool)
@@ -34,7 +34,7 @@
 // still known gets requests for as long as that lasts.
 func TestViewsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		first, second := listing("a"), listing("b")
+		first, second := nodeWithoutStore("a"), nodeWithoutStore("b")
 		q := &peer{Member: roll.Member{ID: "a"}}
 
 		var log []inventory.Change
@@ -55,17 +55,17 @@
 			log[version-1].Target.Version = version
 
 			if rapid.IntRange(0, 4).Draw(t, "whole") == 0 {
-				first.takeTargets(latest(log), true, version)
+				first.applyTargets(currentRows(log), true, version)
 			} else {
-				first.takeTargets(log[first.list:], first.list == 0, version)
+				first.applyTargets(log[first.listVersion:], first.listVersion == 0, version)
 			}
 
 			switch rapid.IntRange(0, 4).Draw(t, "look") {
 			case 0:
 				// The store tells all changes since what was known.
-				second.takeTargets(log[second.list:], second.list == 0, version)
+				second.applyTargets(log[second.listVersion:], second.listVersion == 0, version)
 			case 1, 2:
-				assert.Assert(t, second.takeView(first.View(second.versions()), q))
+				assert.Assert(t, second.applyView(first.View(second.versions()), q))
 			default:
 				continue
 			}
@@ -76,7 +76,7 @@
 }
 
 // latest returns what a whole reading of the list gives after these changes.
-func latest(log []inventory.Change) []inventory.Change {
+func currentRows(log []inventory.Change) []inventory.Change {
 	rows := make(map[instance.ID]inventory.Change)
 	for _, c := range log {
 		if rows[c.ID] = c; c.Removed {
@@ -92,7 +92,7 @@
 func TestViewOfChanges(t *testing.T) {
 	const targets = 100
 
-	first, second, third := listing("a"), listing("b"), listing("c")
+	first, second, third := nodeWithoutStore("a"), nodeWithoutStore("b"), nodeWithoutStore("c")
 
 	var rows []inventory.Change
 
@@ -101,21 +101,21 @@
 		rows = append(rows, inventory.Change{ID: id, Target: inventory.Target{ID: id, Version: uint64(i + 1)}})
 	}
 
-	second.takeTargets(rows, true, targets)
-	third.takeTargets(rows, true, targets)
+	second.applyTargets(rows, true, targets)
+	third.applyTargets(rows, true, targets)
 
 	rows[7].Target.Version, rows[7].Target.Leaving = targets+1, true
-	first.takeTargets(rows[:targets-1], true, targets+2)
+	first.applyTargets(rows[:targets-1], true, targets+2)
 
 	v := first.View(second.versions())
 	assert.Equal(t, len(v.Targets), 1)
 	assert.Equal(t, len(v.Listed), targets-1)
-	assert.Assert(t, second.takeView(v, &peer{}))
+	assert.Assert(t, second.applyView(v, &peer{}))
 	assert.DeepEqual(t, second.leaving(), first.leaving())
 
 	// The last target goes.
-	first.takeTargets(nil, true, targets+3)
-	assert.Assert(t, third.takeView(first.View(third.versions()), &peer{}))
+	first.applyTargets(nil, true, targets+3)
+	assert.Assert(t, third.applyView(first.View(third.versions()), &peer{}))
 	assert.Equal(t, len(third.knownTargets()), 0)
 }
 
@@ -123,22 +123,22 @@
 // target whose row has lapsed. A peer that asks meanwhile must not take it for
 // one that is listed, or it keeps it for as long as the list does not change.
 func TestViewOfAKeptTarget(t *testing.T) {
-	first, second := listing("a"), listing("b")
+	first, second := nodeWithoutStore("a"), nodeWithoutStore("b")
 	both := []inventory.Change{{ID: "t1", Target: inventory.Target{ID: "t1"}}, {ID: "t2", Target: inventory.Target{ID: "t2"}}}
 
-	first.takeTargets(both, true, 1)
-	second.takeTargets(both, true, 1)
+	first.applyTargets(both, true, 1)
+	second.applyTargets(both, true, 1)
 
-	first.book.Failed(time.Now().Add(-2 * time.Second))
-	first.takeTargets([]inventory.Change{{ID: "t2", Removed: true}}, false, 2)
+	first.registry.Failed(time.Now().Add(-2 * time.Second))
+	first.applyTargets([]inventory.Change{{ID: "t2", Removed: true}}, false, 2)
 	assert.Equal(t, len(first.knownTargets()), 2, "the target is not kept")
 
 	v := first.View(second.versions())
 	assert.Equal(t, v.Base, uint64(1))
 	assert.DeepEqual(t, v.Gone, []instance.ID{"t2"})
-	assert.Assert(t, second.takeView(v, &peer{}))
+	assert.Assert(t, second.applyView(v, &peer{}))
 	assert.DeepEqual(t, slices.Collect(maps.Keys(second.knownTargets())), []instance.ID{"t1"})
 
 	// One that knows nothing gets the whole, without it.
-	assert.Equal(t, len(first.View(listing("c").versions()).Targets), 1)
+	assert.Equal(t, len(first.View(nodeWithoutStore("c").versions()).Targets), 1)
 }
--- a/internal/fleet/node/watch.go
+++ b/internal/fleet/node/watch.go
@@ -21,51 +21,51 @@
 	// targetsPause is the time between two looks at the list of targets of an
 	// entry on its own. A leaving target must get nothing after 2 s, and each
 	// look costs a call.
-	targetsPause        = 600 * time.Millisecond
-	targetsPauseHolding = 450 * time.Millisecond
+	targetsInterval        = 600 * time.Millisecond
+	targetsIntervalHolding = 450 * time.Millisecond
 	// pauseLed is the time between two looks of an entry that the holder tells
 	// of changes.
-	pauseLed = 15 * time.Second
+	ledInterval = 15 * time.Second
 	// targetsPauseTold is the time before a look when the holder tells of changes
 	// and does not answer for them: at a site's start all targets
 	// register within seconds, and all entries would look at each.
-	targetsPauseTold = 400 * time.Millisecond
+	targetsReadDelay = 400 * time.Millisecond
 	// turnCheck is how often an entry looks whether the holder still tells of
 	// changes.
-	turnCheck = 200 * time.Millisecond
+	pollTick = 200 * time.Millisecond
 	// holderKnows is how old the holder's knowledge of the store may be for the
 	// others to rest on it: its looks are half a second apart and its news 0.4 s,
 	// and with a look of their own the others are still within 2 s.
-	holderKnows = 1300 * time.Millisecond
+	maxHolderStoreAge = 1300 * time.Millisecond
 	// failurePause is the time between two calls to a store that fails, doubled
 	// each time up to failureMost: entries have seconds after its return, and the
 	// calls of many cost more than they find out.
-	failurePause = 250 * time.Millisecond
-	failureMost  = time.Second
+	minBackoff = 250 * time.Millisecond
+	maxBackoff  = time.Second
 )
 
 var (
-	configPauses  = pauses{holding: configWaitHolding, led: pauseLed, alone: configWait, polls: true}
-	targetsPauses = pauses{holding: targetsPauseHolding, led: pauseLed, alone: targetsPause}
+	configPolling  = polling{holding: configWaitHolding, led: ledInterval, alone: configWait, longPoll: true}
+	targetsPolling = polling{holding: targetsIntervalHolding, led: ledInterval, alone: targetsInterval}
 )
 
 // watchConfig keeps the configuration in force up to date.
 func (n *Node) watchConfig(ctx context.Context) {
 	var (
 		after uint64
-		link  link
+		status  storeStatus
 	)
 
 	for ctx.Err() == nil {
-		n.askingConfig.Store(true)
-		c, version, err := n.nextConfig(ctx, after)
-		n.askingConfig.Store(false)
-		link.note(n, "configuration", err)
-		n.lostConfig.Store(link.lost)
+		n.readingConfig.Store(true)
+		c, version, err := n.readConfig(ctx, after)
+		n.readingConfig.Store(false)
+		status.record(n, "configuration", err)
+		n.configReadsFail.Store(status.lost)
 
 		if err != nil {
-			after = restart(err, after)
-			n.rest(ctx, &link, err, configPauses, n.configBehind, n.catchUpConfig)
+			after = resumeVersion(err, after)
+			n.backOff(ctx, &status, err, configPolling, n.refreshConfig, n.fetchConfig)
 
 			continue
 		}
@@ -73,41 +73,41 @@
 		after = version
 
 		n.mu.Lock()
-		n.lookedConfig, n.configRead = time.Now(), version
+		n.configAsOf, n.configReadVersion = time.Now(), version
 		n.mu.Unlock()
 
 		if c != nil {
-			n.putInForce(c)
+			n.activateConfig(c)
 		} else {
 			// Nothing changed, or nothing was ever written.
-			_ = clock.Sleep(ctx, jitter(failurePause)/10) //nolint:mnd // Only so that an empty store is not asked in a loop.
+			_ = clock.Sleep(ctx, jitter(minBackoff)/10) //nolint:mnd // Only so that an empty store is not asked in a loop.
 		}
 
-		n.turn(ctx, configPauses, n.configBehind, n.catchUpConfig)
+		n.waitForNextRead(ctx, configPolling, n.refreshConfig, n.fetchConfig)
 	}
 }
 
 // rest waits after a call that failed. Where there are many entries it is the
 // others who find out that the store is back.
-func (n *Node) rest(ctx context.Context, l *link, err error, p pauses, behind <-chan struct{}, catchUp func(context.Context) bool) {
-	_ = clock.Sleep(ctx, l.pause()) // The loop's owner looks at ctx.
+func (n *Node) backOff(ctx context.Context, status *storeStatus, err error, p polling, refresh <-chan struct{}, fetch func(context.Context) bool) {
+	_ = clock.Sleep(ctx, status.backoff()) // The loop's owner looks at ctx.
 
 	var gone *inventory.HistoryGoneError
-	if !errors.As(err, &gone) && n.standing().entries > lookers {
-		n.turn(ctx, p, behind, catchUp)
+	if !errors.As(err, &gone) && n.pollState().entries > fullRateEntries {
+		n.waitForNextRead(ctx, p, refresh, fetch)
 	}
 }
 
-func (n *Node) nextConfig(ctx context.Context, after uint64) (*route.Config, uint64, error) {
-	s := n.standing()
-	n.noteLook(callConfig, s, after)
+func (n *Node) readConfig(ctx context.Context, after uint64) (*route.Config, uint64, error) {
+	s := n.pollState()
+	n.countRead(callConfig, s, after)
 
 	switch {
 	case after == 0:
 		return n.cfg.Source.Configuration(ctx)
 	case s.holding:
 		return n.cfg.Source.ConfigurationAfter(ctx, after, configWaitHolding)
-	case s.led || s.entries > lookers:
+	case s.led || s.entries > fullRateEntries:
 		return n.cfg.Source.ConfigurationAfter(ctx, after, 0)
 	}
 
@@ -124,17 +124,17 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	return n.news.Holder != n.cfg.Self && !n.heard.IsZero() && n.news.StoreAge+time.Since(n.heard) < holderKnows
+	return n.holderState.Holder != n.cfg.Self && !n.holderReceived.IsZero() && n.holderState.StoreAge+time.Since(n.holderReceived) < maxHolderStoreAge
 }
 
 // catchUpTargets learns the newest list from the holder. It reports false
 // when the store must be asked.
-func (n *Node) catchUpTargets(ctx context.Context) bool {
-	if n.askHolder(ctx) {
+func (n *Node) fetchTargets(ctx context.Context) bool {
+	if n.fetchListFromHolder(ctx) {
 		return true
 	}
 
-	_ = clock.Sleep(ctx, jitter(targetsPauseTold)) // The loop's owner looks at ctx.
+	_ = clock.Sleep(ctx, jitter(targetsReadDelay)) // The loop's owner looks at ctx.
 
 	return false
 }
@@ -144,7 +144,7 @@
 //
 // It guards against answers that overtake each other and against a whole read
 // after lost history: a version must never go back within a process.
-func (n *Node) putInForce(c *route.Config) {
+func (n *Node) activateConfig(c *route.Config) {
 	if old := n.config(); old != nil && old.Version >= c.Version {
 		return
 	}
@@ -156,8 +156,8 @@
 		n.cfg.Log.Warn().Err(err).Uint64("version", c.Version).Msg("limit below one request")
 	}
 
-	poke(n.changed)
-	poke(n.quotas.soon)
+	signal(n.routingChanged)
+	signal(n.quotas.roundSoon)
 	n.holder.Announce()
 }
 
@@ -165,39 +165,39 @@
 func (n *Node) watchTargets(ctx context.Context) {
 	var (
 		after uint64
-		link  link
+		status  storeStatus
 	)
 
 	for ctx.Err() == nil {
-		n.askingTargets.Store(true)
-		changes, version, err := n.nextTargets(ctx, after)
-		n.askingTargets.Store(false)
-		link.note(n, "targets", err)
-		n.lostTargets.Store(link.lost)
+		n.readingTargets.Store(true)
+		changes, version, err := n.readTargets(ctx, after)
+		n.readingTargets.Store(false)
+		status.record(n, "targets", err)
+		n.targetReadsFail.Store(status.lost)
 
 		if err != nil {
-			n.noteFailure(err)
+			n.recordStoreFailure(err)
 
-			after = restart(err, after)
-			n.rest(ctx, &link, err, targetsPauses, n.listBehind, n.catchUpTargets)
+			after = resumeVersion(err, after)
+			n.backOff(ctx, &status, err, targetsPolling, n.refreshList, n.fetchTargets)
 
 			continue
 		}
 
 		// A peer may have told of a newer list meanwhile.
-		if n.takeTargets(changes, after == 0, version) {
+		if n.applyTargets(changes, after == 0, version) {
 			after = version
 		} else {
 			after = 0
 		}
 
-		n.turn(ctx, targetsPauses, n.listBehind, n.catchUpTargets)
+		n.waitForNextRead(ctx, targetsPolling, n.refreshList, n.fetchTargets)
 	}
 }
 
 // noteFailure records that the store did not answer, which lost history does
 // not mean.
-func (n *Node) noteFailure(err error) {
+func (n *Node) recordStoreFailure(err error) {
 	var gone *inventory.HistoryGoneError
 	if errors.As(err, &gone) {
 		return
@@ -206,11 +206,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	n.book.Failed(time.Now())
+	n.registry.Failed(time.Now())
 }
 
-func (n *Node) nextTargets(ctx context.Context, after uint64) ([]inventory.Change, uint64, error) {
-	n.noteLook(callTargets, n.standing(), after)
+func (n *Node) readTargets(ctx context.Context, after uint64) ([]inventory.Change, uint64, error) {
+	n.countRead(callTargets, n.pollState(), after)
 
 	if after == 0 {
 		return n.cfg.Source.Targets(ctx)
@@ -221,7 +221,7 @@
 
 // restart returns from which version to go on after an error: from the
 // beginning when changes were lost.
-func restart(err error, after uint64) uint64 {
+func resumeVersion(err error, after uint64) uint64 {
 	var gone *inventory.HistoryGoneError
 	if errors.As(err, &gone) {
 		return 0
@@ -232,21 +232,21 @@
 
 // takeTargets takes in what the store says of the targets as of a version. It
 // reports false, and changes nothing, when a newer list is known.
-func (n *Node) takeTargets(changes []inventory.Change, whole bool, version uint64) bool {
+func (n *Node) applyTargets(changes []inventory.Change, whole bool, version uint64) bool {
 	now := time.Now()
 
 	n.mu.Lock()
-	n.book.Heard(now)
+	n.registry.Heard(now)
 
-	if version < n.list {
+	if version < n.listVersion {
 		n.mu.Unlock()
 
 		return false
 	}
 
-	n.list, n.lookedTargets = version, now
-	if n.changesUse(changes, whole) {
-		n.usable = version
+	n.listVersion, n.targetsAsOf = version, now
+	if n.changesUsable(changes, whole) {
+		n.usableVersion = version
 	}
 
 	n.apply(changes, whole, now)
@@ -258,7 +258,7 @@
 	}
 
 	if len(changes) > 0 || whole {
-		poke(n.changed)
+		signal(n.routingChanged)
 		n.holder.Announce()
 	}
 
@@ -267,13 +267,13 @@
 
 // changesUse reports whether changes of the list change which targets may be
 // used, and not only what they hold. The caller holds the lock.
-func (n *Node) changesUse(changes []inventory.Change, whole bool) bool {
+func (n *Node) changesUsable(changes []inventory.Change, whole bool) bool {
 	if whole {
 		return true
 	}
 
 	for _, c := range changes {
-		old, known := n.known[c.ID]
+		old, known := n.targetsByID[c.ID]
 		if c.Removed || c.Err != nil || !known || old.Leaving != c.Target.Leaving || old.Born != c.Target.Born || old.Address != c.Target.Address {
 			return true
 		}
@@ -297,11 +297,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	return n.known
+	return n.targetsByID
 }
 
 // link tells once when a dependency is lost and once when it is back.
-type link struct {
+type storeStatus struct {
 	lost  bool
 	since time.Time
 	// failed counts the calls without an answer since the last one with.
@@ -309,11 +309,11 @@
 }
 
 // pause returns how long to wait after a failure.
-func (l *link) pause() time.Duration {
-	return jitter(min(failurePause<<min(max(0, l.failed-1), 2), failureMost)) //nolint:mnd // Doubled twice.
+func (l *storeStatus) backoff() time.Duration {
+	return jitter(min(minBackoff<<min(max(0, l.failed-1), 2), maxBackoff)) //nolint:mnd // Doubled twice.
 }
 
-func (l *link) note(n *Node, what string, err error) {
+func (l *storeStatus) record(n *Node, what string, err error) {
 	var gone *inventory.HistoryGoneError
 
 	l.failed++
