--- a/internal/fleet/node/calls.go
+++ b/internal/fleet/node/calls.go
@@ -12,10 +12,10 @@
 	"github.com/fulmarcross/fulmarcross/internal/platform/table"
 )
 
-// call is what a call to the platform's store is for.
+// call is the purpose of a call to the platform's store.
 type call string
 
-// The calls to the store.
+// The purposes of calls to the store.
 const (
 	callConfig  call = "config"
 	callTargets call = "targets"
@@ -23,23 +23,23 @@
 	callEntries call = "entries"
 )
 
-// cause is why a call to the store is made.
+// cause is the reason for a call to the store.
 type cause string
 
 // The causes of calls.
 const (
-	// causeStart calls learn what a process does not know at all.
+	// causeStart is for reads of data that the process has not read yet.
 	causeStart cause = "start"
-	// causeHolding calls are those of the holder, on which the others rest.
+	// causeHolding is for calls of the holder, on which the other entries rely.
 	causeHolding cause = "holding"
-	// causeLed calls are those of entries that the holder tells of changes.
+	// causeLed is for calls of entries to which the holder announces changes.
 	causeLed cause = "led"
-	// causeAlone calls are those of entries that hear no holder, or one that
-	// does not hear the store.
+	// causeAlone is for calls of entries that receive nothing from a holder, or
+	// whose holder cannot read the store.
 	causeAlone cause = "alone"
 )
 
-// cause returns why an entry that knows the store calls it.
+// cause returns the cause of a call by an entry that has read the store before.
 func (s pollState) cause() cause {
 	switch {
 	case s.holding:
@@ -51,8 +51,8 @@
 	}
 }
 
-// noteLook counts a look at the store by an entry that knows it as of a version,
-// or not at all if that is zero.
+// countRead counts a read of the store by an entry whose data is as of a
+// version; zero means that it has none.
 func (n *Node) countRead(what call, s pollState, after uint64) {
 	if after == 0 && !s.holding {
 		n.calls.count(what, causeStart)
@@ -63,8 +63,8 @@
 	n.calls.count(what, s.cause())
 }
 
-// calls counts the calls to the platform's store, which are priced. Set metrics
-// before use.
+// calls counts the calls to the platform's store, which are charged for. Set
+// metrics before use.
 type calls struct {
 	counts
 
@@ -76,10 +76,10 @@
 	c.add(string(what)+" "+string(why), 1)
 }
 
-// callsEvery is the time between two lines that tell the counts so far.
+// callsLogInterval is the time between two log lines with the counts so far.
 const callsLogInterval = 10 * time.Second
 
-// logCalls tells how many calls to the store were made since the process
+// logCalls logs how many calls to the store were made since the process
 // started, and how many bytes were exchanged with other entries.
 func (n *Node) logCalls(ctx context.Context) {
 	var calls, bytes int
@@ -90,7 +90,8 @@
 	}
 }
 
-// logCounts tells counts unless their sum is the last one, and returns it.
+// logCounts logs the counts if their sum differs from the last one, and returns
+// the sum.
 func (n *Node) logCounts(message, name string, counts map[string]int, last int) int {
 	sum := 0
 	line := zerolog.Dict()
@@ -114,7 +115,7 @@
 	count func(key string)
 }
 
-// noteTable counts a call for a key of the product's own table.
+// countTableCall counts a call for a key of the product's own table.
 func (n *Node) countTableCall(key string) {
 	if strings.HasPrefix(key, entryPrefix) {
 		n.calls.count(callEntries, causeStart)
--- a/internal/fleet/node/confirm.go
+++ b/internal/fleet/node/confirm.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	// confirmTime bounds one check of the configuration.
+	// confirmTimeout bounds one check of the configuration.
 	confirmTimeout = 400 * time.Millisecond
-	// confirmRest is the time between the beginnings of two checks, so that unknown
-	// keys, however many, cost few. A caller waits for this and for one check at
-	// most.
+	// confirmInterval is the time between the starts of two checks, so that
+	// unknown keys, however many, cause few calls. A client waits at most for
+	// this and one check.
 	confirmInterval = 200 * time.Millisecond
 )
 
-// confirmation is the check of the configuration that callers with unknown keys
-// share. The zero value has checked nothing.
+// confirmation coordinates the checks of the configuration that clients with
+// unknown keys share. The zero value is ready to use.
 type confirmation struct {
 	mu sync.Mutex
-	// began is when the last check began, and next is closed when the one that has
-	// not begun yet has ended.
+	// began is when the last check began, and next is closed when the next
+	// check, which has not begun yet, has ended.
 	began time.Time
 	next  chan struct{}
-	// looked is when a check last went to the store.
+	// storeChecked is when a check last called the store.
 	storeChecked time.Time
 }
 
-// confirm makes sure that the configuration in force here is as new as it was
-// when confirm was called, or returns when ctx ends or nobody answers.
+// confirm ensures that the configuration in force here is at least as new as
+// the newest one when confirm was called. It gives up when ctx ends or when
+// neither the store nor the holder answers.
 func (n *Node) confirm(ctx context.Context) {
 	c := &n.confirmation
 
@@ -50,7 +51,7 @@
 	}
 }
 
-// confirmAfter makes the next check, after a pause, and closes done.
+// confirmAfter makes the next check after a pause and closes done.
 func (n *Node) confirmAfter(pause time.Duration, done chan<- struct{}) {
 	defer close(done)
 
@@ -63,7 +64,7 @@
 	c.mu.Lock()
 	c.began, c.next = time.Now(), nil
 
-	// All entries together ask the store no more often than a few would.
+	// All entries together call the store no more often than a few would.
 	store := c.began.Sub(c.storeChecked) >= scaleInterval(confirmInterval, n.entryCount())
 	if store {
 		c.storeChecked = c.began
@@ -80,8 +81,8 @@
 	}
 }
 
-// confirmedByHolder puts in force what the holder has, if it is newer, and
-// reports whether it answered.
+// confirmWithHolder activates the holder's configuration if it is newer, and
+// reports whether the holder answered.
 func (n *Node) confirmWithHolder(ctx context.Context) bool {
 	v, q := n.fetchFromHolder(ctx, n.configOnly())
 	if q == nil {
@@ -93,10 +94,10 @@
 	return true
 }
 
-// confirmedByStore puts in force what the store has, if it is newer, and reports
-// whether it answered.
+// confirmWithStore activates the store's configuration if it is newer, and
+// reports whether the store answered.
 func (n *Node) confirmWithStore(ctx context.Context) bool {
-	// What the holder knows is asked when the store is silent.
+	// The rest of the time is for the holder if the store does not answer.
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout/2) //nolint:mnd // Half of the time for either.
 	defer cancel()
 
--- a/internal/fleet/node/handler.go
+++ b/internal/fleet/node/handler.go
@@ -62,7 +62,8 @@
 	}
 }
 
-// publish hands this holder's news to everybody.
+// publish adds the versions of the configuration and the list to this holder's
+// snapshot, applies it and sends it to all peers.
 func (n *Node) publish(latest holder.News) {
 	if c := n.config(); c != nil {
 		latest.Config = c.Version
@@ -77,8 +78,9 @@
 	n.peers.notifyAll()
 }
 
-// newsSince returns what is new to a peer that has these news, or of which that
-// is not known. It reports false unless the newest are this entry's own.
+// deltaSince returns the changes since the version that a peer has, or since
+// the previous version if it is not known which it has. It reports false unless
+// the latest snapshot is this process's own.
 func (n *Node) deltaSince(has holder.Edition, known bool) (holder.Delta, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -102,7 +104,7 @@
 // Block implements news.Handler.
 func (n *Node) Block(fp request.Fingerprint) { n.dispatcher.Block(fp) }
 
-// noticed spreads what was found on a request's path.
+// broadcastNotice sends the fingerprint of a poison request to all peers.
 func (n *Node) broadcastNotice(notice dispatch.Notice) {
 	if notice.Poisoned == 0 {
 		return
@@ -113,7 +115,7 @@
 	for _, m := range n.peers.alive() {
 		go func() {
 			if q := n.peers.connection(m.ID); q != nil {
-				// A peer that does not hear it finds out by itself.
+				// A peer that misses it detects the poison request by itself.
 				_ = q.client.Block(n.workCtx, notice.Poisoned)
 			}
 		}()
@@ -121,17 +123,19 @@
 }
 
 const (
-	// reportEvery is how often an entry reports when nothing new waits.
+	// reportInterval is the time between two reports when no new requests are
+	// queued.
 	reportInterval = 400 * time.Millisecond
-	// gather is how long a report waits for further requests.
+	// reportDelay is how long a report waits for further requests.
 	reportDelay = 3 * time.Millisecond
-	// idlePace is how long a report waits, for each entry that there is, when all
-	// that it tells is that a replica has fallen idle. All entries together make
-	// 200 such reports a second at most.
+	// idleReportDelay is how long a report waits, for each entry that there is,
+	// when it only reports that a replica has become idle. All entries together
+	// make at most 200 such reports a second.
 	idleReportDelay = 5 * time.Millisecond
 )
 
-// report tells the holder what this entry's requests wait for and run on.
+// report sends the holder the models that this entry's requests wait for and
+// run on.
 func (n *Node) report(ctx context.Context) {
 	t := time.NewTicker(reportInterval)
 	defer t.Stop()
--- a/internal/fleet/node/learn.go
+++ b/internal/fleet/node/learn.go
@@ -12,16 +12,17 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/news"
 )
 
-// askEvery is the time between two questions to peers while the store does not
-// answer: a third of the time in which a leaving target must be known.
+// peerPollInterval is the time between two queries to peers while the store
+// does not answer: a third of the time within which a leaving target must be
+// noticed.
 const peerPollInterval = 600 * time.Millisecond
 
-// askEveryMany is the same where there are many entries, of which few look at
-// the store themselves: what one of them finds reaches all within a second.
+// peerPollIntervalMany is the same for many entries, of which few read the
+// store: a change that one of them reads reaches all within a second.
 const peerPollIntervalMany = 150 * time.Millisecond
 
-// needsPeers reports whether this entry learns from its peers, and how often it
-// asks one.
+// pollsPeers reports whether this entry polls its peers for changes, and how
+// often.
 func (n *Node) pollsPeers() (bool, time.Duration) {
 	s := n.pollState()
 
@@ -32,12 +33,12 @@
 	return n.configReadsFail.Load() || n.targetReadsFail.Load(), peerPollInterval
 }
 
-// askPeers learns from the peers while the store turns this entry away, or
-// while it leaves to others to look.
+// pollPeers fetches changes from the peers while the store does not answer this
+// entry, or while other entries read the store on behalf of all.
 //
-// It guards against a store that serves some entries and not others: the
-// operators' change is acknowledged and in force at the others, while callers
-// here would be routed by the old one, and to targets that left.
+// It guards against a store that serves only some entries: a change would be
+// acknowledged to the operators and in force at the other entries, while this
+// one would still route by the old configuration and to targets that left.
 func (n *Node) pollPeers(ctx context.Context) {
 	for ctx.Err() == nil {
 		needs, pause := n.pollsPeers()
@@ -51,8 +52,8 @@
 	}
 }
 
-// askPeer takes in what the peer, if there is one, has that is newer than what is
-// said to be had.
+// fetchFromPeer fetches and applies what the peer has that is newer than the
+// given versions. It does nothing if the peer is nil.
 func (n *Node) fetchFromPeer(ctx context.Context, q *peer, have news.Versions) {
 	if q == nil {
 		return
@@ -76,23 +77,24 @@
 }
 
 const (
-	// peerAnswers bounds a question to a peer whose connection may have gone
-	// silent.
+	// peerTimeout bounds a query to a peer whose connection may have stalled.
 	peerTimeout = 600 * time.Millisecond
-	// passOnEvery is the time between two questions for a new configuration, and
-	// passOnTries how many peers are asked before the holder: a configuration
-	// that half of the entries have reaches nearly all within a few.
+	// configFetchInterval is the time between two queries for a new
+	// configuration, and configFetchTries how many peers are queried before the
+	// holder: a configuration that half of the entries have reaches nearly all
+	// within a few queries.
 	configFetchInterval = 60 * time.Millisecond
-	configFetchTries = 16
+	configFetchTries    = 16
 )
 
-// catchUpConfig learns the configuration that the holder has in force from the
-// peers, or from the holder. It reports false when the store must be asked.
+// fetchConfig fetches the configuration that the holder has in force, from
+// peers or from the holder. It reports false when the store must be read
+// instead.
 //
-// It answers the load of many entries: each of them would read the whole
-// configuration from the store at each change, and the holder's link does not
-// carry it to all of them at once. A few ask the holder, the others those that
-// have it.
+// This limits the load of many entries: if each read the whole configuration
+// from the store at each change, or all fetched it from the holder at once, the
+// links would not carry it. A few ask the holder, the others the peers that
+// already have it.
 func (n *Node) fetchConfig(ctx context.Context) bool {
 	tries := configFetchTries
 	if rank := rand.IntN(n.pollState().entries); rank < fullRateEntries { //nolint:gosec // No secret.
@@ -114,17 +116,17 @@
 	return n.configCurrent()
 }
 
-// toldPatience is for how long a configuration or a list that the holder has told
-// of may be on its way by other means.
+// announcementDelay is how long a configuration or list that the holder has
+// announced may take to arrive by other means.
 const announcementDelay = 300 * time.Millisecond
 
-// followConfig learns a configuration that the holder has told of while a call to
-// the store hangs.
+// fetchAnnouncedConfig fetches a configuration that the holder has announced
+// while a call to the store hangs.
 //
-// It guards against a store that is silent for this entry alone: the call that
-// waits for changes hangs for seconds, and a key that was withdrawn would open
-// the routes here for as long. At all other times watchConfig follows, so that a
-// large configuration is fetched once.
+// It guards against a store that does not answer this entry alone: the call
+// that waits for changes hangs for seconds, and a withdrawn key would stay
+// valid here for as long. At all other times watchConfig fetches the
+// configuration, so that a large one is transferred once.
 func (n *Node) fetchAnnouncedConfig(ctx context.Context) {
 	onAnnouncement(ctx, n.configAnnounced, func() {
 		if n.readingConfig.Load() && !n.configCurrent() {
@@ -133,11 +135,11 @@
 	})
 }
 
-// followList learns a list of targets that the holder has told of while a call to
-// the store hangs.
+// fetchAnnouncedList fetches a list of targets that the holder has announced
+// while a call to the store hangs.
 //
-// It guards against the same silence as followConfig: a target that left would
-// get requests from here until the call has failed.
+// It guards against the same fault as fetchAnnouncedConfig: this entry would
+// send requests to a target that left until the call has failed.
 func (n *Node) fetchAnnouncedList(ctx context.Context) {
 	onAnnouncement(ctx, n.listAnnounced, func() {
 		if n.readingTargets.Load() && n.listOutdated() && !n.fetchListFromHolder(ctx) {
@@ -146,8 +148,8 @@
 	})
 }
 
-// follow calls learn a moment after each word that there is something newer,
-// until ctx ends.
+// onAnnouncement calls fetch announcementDelay after each announcement until
+// ctx ends.
 func onAnnouncement(ctx context.Context, announced <-chan struct{}, fetch func()) {
 	for {
 		select {
@@ -162,7 +164,8 @@
 	}
 }
 
-// lateList reports whether the holder has told of a newer list than is known.
+// listOutdated reports whether the holder has announced a newer list than this
+// entry has.
 func (n *Node) listOutdated() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -170,8 +173,8 @@
 	return n.listVersion < n.holderState.List
 }
 
-// lacksConfig returns what to tell an entry that is asked for a newer
-// configuration only.
+// configOnly returns the versions to send in a query for a newer configuration
+// only.
 func (n *Node) configOnly() news.Versions {
 	have := n.versions()
 	have.List = math.MaxUint64
@@ -179,8 +182,9 @@
 	return have
 }
 
-// lacksList returns what to tell an entry that is asked for a newer list only:
-// the configuration's text is larger, and the store's link wider.
+// listOnly returns the versions to send in a query for a newer list only: the
+// configuration's text is larger, and the store has more bandwidth than an
+// entry.
 func (n *Node) listOnly() news.Versions {
 	have := n.versions()
 	have.Config = math.MaxUint64
@@ -188,8 +192,8 @@
 	return have
 }
 
-// inForce reports whether the configuration that the holder told of is in force
-// here.
+// configCurrent reports whether this entry's configuration is at least as new
+// as the one that the holder announced.
 func (n *Node) configCurrent() bool {
 	c := n.config()
 
@@ -213,23 +217,24 @@
 	return v
 }
 
-// holderAnswers bounds the question for what the holder knows: an answer takes
-// a few milliseconds, and the store is asked instead after this.
+// holderTimeout bounds a query to the holder: an answer takes a few
+// milliseconds, and the store is read instead after this.
 const holderTimeout = 300 * time.Millisecond
 
-// askHolder learns from the holder how the list of targets has changed, and
-// reports whether that could be had.
+// fetchListFromHolder fetches changes of the list of targets from the holder
+// and applies them. It reports whether the list is now as new as the holder's.
 //
-// It answers the load of many entries: while targets are replaced one after the
-// other, each of them would look at the store at each change.
+// This limits the load of many entries: while targets are replaced one after
+// the other, each entry would otherwise read the store at each change.
 func (n *Node) fetchListFromHolder(ctx context.Context) bool {
 	v, q := n.fetchFromHolder(ctx, n.listOnly())
 
 	return q != nil && (v.List == 0 || n.applyView(v, q))
 }
 
-// holderView returns what the holder has that is newer than what is said to be
-// had, and the way to it; nil means that it does not answer.
+// fetchFromHolder returns what the holder has that is newer than the given
+// versions, and the connection to it, which is nil if the holder does not
+// answer.
 func (n *Node) fetchFromHolder(ctx context.Context, have news.Versions) (news.View, *peer) {
 	q := n.peers.connection(n.holder.Known())
 	if q == nil {
@@ -249,7 +254,7 @@
 	return v, q
 }
 
-// takeConfig puts a peer's configuration in force, if it has a newer one.
+// applyPeerConfig activates a peer's configuration, if the view contains one.
 func (n *Node) applyPeerConfig(v news.View, from *peer) {
 	if len(v.Config) == 0 {
 		return
--- a/internal/fleet/node/lending.go
+++ b/internal/fleet/node/lending.go
@@ -19,8 +19,8 @@
 	// silentAfter is after how many calls without an answer, one after the other,
 	// an entry is passed over as a home, and silentFor for how long, doubled each
 	// time up to eight times: one that lost power stays on the list for long.
-	excludeAfter  = 2
-	excludeFor    = 3 * time.Second
+	excludeAfter        = 2
+	excludeFor          = 3 * time.Second
 	maxExcludeDoublings = 3
 	// soonPause keeps rounds that are asked for at once apart.
 	roundSpacing = 20 * time.Millisecond
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -1,6 +1,6 @@
-// Package node is one entry on the users' platform, put together: it learns
-// what is in force and which targets there are, answers callers, takes part in
-// the control of the engines and speaks with the other entries.
+// Package node assembles one entry: it follows the configuration and the list
+// of targets, serves clients, takes part in the control of the engines and
+// communicates with the other entries.
 package node
 
 import (
@@ -34,24 +34,25 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/news"
 )
 
-// Source is where an entry learns what is in force and which targets there
-// are. Its calls with a version wait for changes.
+// Source provides the configuration and the list of targets. The methods that
+// take a version wait for changes after it.
 type Source interface {
 	Configuration(ctx context.Context) (*route.Config, uint64, error)
 	ConfigurationAfter(ctx context.Context, after uint64, wait time.Duration) (*route.Config, uint64, error)
 	Targets(ctx context.Context) ([]inventory.Change, uint64, error)
 	TargetsAfter(ctx context.Context, after uint64, wait time.Duration) ([]inventory.Change, uint64, error)
-	// Decode reads a configuration's text.
+	// Decode parses a configuration's text.
 	Decode(text []byte) (*route.Config, error)
 }
 
-// Config is what an entry works with.
+// Config configures a Node.
 type Config struct {
 	Self       instance.ID
 	DataCentre instance.DataCentre
 	// Callers, Readiness, Peers and Metrics are the addresses to listen on.
 	Callers, Readiness, Peers, Metrics netip.AddrPort
-	// Seeds are entries that may be asked for the others.
+	// Seeds are the addresses of entries to contact first to discover the
+	// others.
 	Seeds []netip.AddrPort
 	// ReadyPath is the path of the readiness check.
 	ReadyPath string
@@ -61,87 +62,96 @@
 	Protocol  relay.Protocol
 	// Strength is the share of a processor that this instance has.
 	Strength float64
-	// Entries is how many entries there may be until the others are known.
+	// Entries is the number of entries assumed until the others are known.
 	Entries   int
 	Allowance relay.RetryLimit
-	// Slack is what may pass beyond teams' limits.
+	// Slack is how far requests may exceed their teams' limits.
 	Slack quota.Slack
-	// Grace is how long a process may take to stop, and TurnPause for how long
-	// no two holders may take turns.
+	// Grace is how long a graceful shutdown may take. TurnPause is the minimum
+	// time between the orders of two successive lease holders.
 	Grace, TurnPause time.Duration
 	Log              zerolog.Logger
-	// Dropped returns how many log lines were not written; nil means none.
+	// Dropped returns the number of log lines that were dropped; nil means
+	// none.
 	Dropped func() int64
 }
 
 // Node is one entry. Create it with New.
 type Node struct {
-	cfg     Config
-	process string
-	started time.Time
-	relay   *relay.Server
-	dispatcher   *dispatch.Dispatcher
-	routing router.Table
-	holder  *holder.Holder
-	peers   peers
-	// work ends after the last request was answered.
-	workCtx    context.Context
+	cfg        Config
+	process    string
+	started    time.Time
+	relay      *relay.Server
+	dispatcher *dispatch.Dispatcher
+	routing    router.Table
+	holder     *holder.Holder
+	peers      peers
+	// workCtx ends after the last request has been answered.
+	workCtx     context.Context
 	cancelWork  context.CancelFunc
-	pool    relay.Pool
-	budgets relay.RetryBudgets
-	metricsPage    metric.Page
-	metrics tally.Scope
-	calls   calls
-	traffic traffic
-	quotas  quotas
-	// confirmed is the last check that no newer configuration is in force.
+	pool        relay.Pool
+	budgets     relay.RetryBudgets
+	metricsPage metric.Page
+	metrics     tally.Scope
+	calls       calls
+	traffic     traffic
+	quotas      quotas
+	// confirmation coordinates the checks for a newer configuration.
 	confirmation confirmation
-	// unscope ends the metrics' reports.
+	// metricsCloser stops the reporting of metrics.
 	metricsCloser io.Closer
 
 	routes   atomic.Pointer[route.Table]
 	listed   atomic.Bool
 	stopping atomic.Bool
-	// listBehind and configBehind ask for a look at the store at once.
+	// refreshList and refreshConfig request an immediate read of the store.
 	refreshList, refreshConfig chan struct{}
-	packedConfig                   packedConfig
-	// askingConfig and askingTargets say that a call to the store for the
-	// configuration or the list of targets is under way.
+	packedConfig               packedConfig
+	// readingConfig and readingTargets report that a call to the store for the
+	// configuration or the list of targets is in progress.
 	readingConfig, readingTargets atomic.Bool
-	// configTold and listTold say that the holder has told of a newer one.
+	// configAnnounced and listAnnounced signal that the holder has announced a
+	// newer configuration or list.
 	configAnnounced, listAnnounced chan struct{}
-	// changed asks for the routing to be built anew, asked for a report, and idled
-	// for one that may wait a little.
+	// routingChanged requests a rebuild of the routing, reportSoon a report to
+	// the holder, and reportIdle a report that may be delayed by
+	// idleReportDelay.
 	routingChanged, reportSoon, reportIdle chan struct{}
 
-	mu   sync.Mutex
+	mu       sync.Mutex
 	registry inventory.Book
-	// list is the store's version at which the list of targets was last read,
-	// here or by the peer that told of it.
+	// listVersion is the store's version at which the list of targets was last
+	// read, by this entry or by the peer that sent it.
 	listVersion uint64
-	// removals are the targets that went from the list.
+	// removals are the targets that were removed from the list.
 	removals removals
-	// usable is the version of the list at the last change of which targets
-	// may be used.
+	// usableVersion is the version of the list at the last change of which
+	// targets may be used.
 	usableVersion uint64
-	// lostConfig and lostTargets say that the store does not answer.
+	// configReadsFail and targetReadsFail report that the store does not
+	// answer.
 	configReadsFail, targetReadsFail atomic.Bool
-	// known is a copy of the book's targets that nobody changes.
+	// targetsByID is a copy of the registry's targets; it is replaced, never
+	// modified.
 	targetsByID map[instance.ID]inventory.Target
-	// news are the newest of history.
+	// holderState is the latest snapshot of holderHistory, and holderReceived
+	// the time at which it was received.
 	holderState    holder.News
-	holderHistory holder.History
-	holderReceived   time.Time
-	// lookedConfig and lookedTargets are up to when this entry knows what the
-	// store held.
+	holderHistory  holder.History
+	holderReceived time.Time
+	// configAsOf and targetsAsOf are the times of the last successful reads of
+	// the store.
 	configAsOf, targetsAsOf time.Time
-	// configRead is the store's version at which the configuration was last read.
+	// configReadVersion is the store's version at which the configuration was
+	// last read.
 	configReadVersion uint64
-	// absent is what targets were found not to hold.
-	absences  map[holder.Missing]absence
+	// absences are the models that targets turned out not to hold.
+	// unreportedMissing are those of them, and the unreachable targets, that
+	// the next report sends to the holder.
+	absences          map[holder.Missing]absence
 	unreportedMissing []holder.Missing
-	snapshotNumber  uint64
-	applied  appliedRouting
+	snapshotNumber    uint64
+	applied           appliedRouting
 }
 
 // New returns an entry. Run starts it.
@@ -184,14 +194,15 @@
 	return n
 }
 
-// Allow replaces the allowance for sending requests once more.
+// Allow replaces the limit on retries.
 func (n *Node) Allow(a relay.RetryLimit) { n.budgets.SetLimit(a) }
 
-// maxWaiting bounds the requests that wait for one model on this entry.
+// maxWaiting bounds the requests queued for one model on this entry.
 const maxWaiting = 256
 
-// terms are the lease's times. A take-over after a death takes the duration
-// and a look, about three seconds; a renewal has two tries before it lapses.
+// leaseTiming is the timing of the lease. A takeover after a death takes the
+// duration and one poll, about three seconds. Two renewals fit into the
+// duration, so one may fail before the lease expires.
 var leaseTiming = lease.Timing{
 	Duration: 2500 * time.Millisecond,
 	Renew:    800 * time.Millisecond,
@@ -230,7 +241,8 @@
 		return err
 	}
 
-	// Work goes on while requests are answered after ctx has ended.
+	// Background work continues while requests are answered after ctx has
+	// ended.
 	work, cancel := n.workCtx, n.cancelWork
 	defer cancel()
 
@@ -271,12 +283,12 @@
 }
 
 const (
-	// headerTimeout and idleTimeout bound how long a caller may take for a
-	// head and stay idle. The operators allow 3 s and 15 s; a connection must
-	// not be closed before its caller gives it up.
+	// headerTimeout and idleTimeout bound how long a client may take to send a
+	// header and keep an idle connection. They exceed the operators' 3 s and 15
+	// s, because a connection must not be closed before its client gives it up.
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 20 * time.Second
-	// maxHeader bounds a request's head; the operators allow 16 KB.
+	// maxHeader bounds a request's header; the operators allow 16 KB.
 	maxHeader = 32 << 10
 )
 
@@ -287,19 +299,21 @@
 }
 
 const (
-	// crossing is how long after the stop's beginning idle connections stay
-	// open: the platform needs two checks, one a second, to send no more
-	// callers, and a request may be on its way.
+	// readinessDelay is how long idle connections stay open after a shutdown
+	// begins: the platform needs two failed checks, one a second, before it
+	// stops sending clients, and a request may be on its way.
 	readinessDelay = 2300 * time.Millisecond
-	// streamTime is how long before the end of the grace a stream must have
-	// begun, so that most have ended by then.
+	// streamMargin is how long before the end of the grace period new streams
+	// are refused, so that most have ended by then.
 	streamMargin = 4 * time.Second
-	// stopMargin is how long before the end of the grace the process is done.
+	// stopMargin is how long before the end of the grace period the process
+	// must have finished.
 	stopMargin = 500 * time.Millisecond
 )
 
-// stop ends the entry: it reports not ready, gives up the lease, answers what
-// it has and what still comes, and closes.
+// stop shuts the entry down gracefully: it reports not ready, releases the
+// lease, answers the requests in flight and those that still arrive, and
+// closes.
 func (n *Node) stop(front *http.Server) {
 	began := time.Now()
 
@@ -311,8 +325,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), n.cfg.Grace-stopMargin)
 	defer cancel()
 
-	// Neither must hold up the stop: the store may be silent, and the lease
-	// then lapses by itself.
+	// These must not delay the shutdown: if the store does not answer, the
+	// lease expires by itself.
 	var leave sync.WaitGroup
 
 	leave.Go(func() { n.holder.Release(ctx) })
@@ -331,12 +345,12 @@
 
 	_ = front.Close()
 
-	// What is left of it has had the whole grace time.
+	// Both have had the whole grace period.
 	waitTimeout(&leave, stopMargin/2) //nolint:mnd // See Run.
 }
 
-// waitAtMost waits for wg, but not for longer than d: a call to a silent store
-// must not keep a process past its grace time.
+// waitTimeout waits for wg, but no longer than d: a call to an unresponsive
+// store must not keep the process beyond its grace period.
 func waitTimeout(wg *sync.WaitGroup, d time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	defer cancel()
@@ -344,7 +358,7 @@
 	_ = clock.Wait(ctx, wg) // What is late ends with the process.
 }
 
-// checks answers the platform's readiness checks.
+// readinessHandler answers the platform's readiness checks.
 func (n *Node) readinessHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+n.cfg.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -356,7 +370,7 @@
 	return mux
 }
 
-// ready reports whether callers may be sent here.
+// ready reports whether clients may be sent to this entry.
 func (n *Node) ready() bool {
 	return n.routes.Load() != nil && n.listed.Load() && !n.stopping.Load()
 }
@@ -369,7 +383,7 @@
 	return nil
 }
 
-// entries returns how many entries share the targets.
+// entryCount returns how many entries share the targets.
 func (n *Node) entryCount() int {
 	if known := len(n.peers.alive()) + 1; known > 1 {
 		return known
@@ -378,15 +392,15 @@
 	return n.cfg.Entries
 }
 
-// sharersUnknown is how many entries are taken to share the repeats until the
-// others are known: the largest site that is planned for has 91, and after a
-// loss of power all of its entries start at once. What requests earn themselves
-// does not depend on it.
+// assumedEntries is the number of entries assumed to share limits and retries
+// until the others are known: the largest planned site has 91, and after a
+// power loss all of its entries start at once. The retries that requests earn
+// themselves do not depend on it.
 const assumedEntries = 100
 
-// sharers returns how many entries may share the repeats: all that are listed,
-// also those that have not been heard yet or any more, so that the shares
-// together are never more than there is.
+// retrySharers returns how many entries may share the retry budget. It counts
+// all listed entries, also those not yet or no longer heard from, so that the
+// shares together never exceed the budget.
 func (n *Node) retrySharers() int {
 	if known := n.peers.listed(); known > 0 {
 		return max(known+1, n.cfg.Entries)
@@ -395,7 +409,7 @@
 	return assumedEntries
 }
 
-// candidates returns the members as those that may hold the lease.
+// candidates returns the members as candidates for the lease.
 func candidates(members []roll.Member) []holder.Candidate {
 	out := make([]holder.Candidate, len(members))
 
@@ -406,7 +420,7 @@
 	return out
 }
 
-// gauge shows what this entry has and believes.
+// updateGauges publishes this entry's state as metrics.
 func (n *Node) updateGauges() {
 	n.metrics.Gauge("running").Update(float64(n.relay.Running()))
 	n.metrics.Gauge("peers").Update(float64(len(n.peers.alive())))
@@ -430,7 +444,8 @@
 
 const sweepInterval = 500 * time.Millisecond
 
-// sweep closes idle connections to targets and keeps the budgets' share.
+// sweep periodically closes expired connections to targets, updates the gauges
+// and the share of the retry budget, and removes expired targets.
 func (n *Node) sweep(ctx context.Context) {
 	for clock.Sleep(ctx, sweepInterval) == nil {
 		n.pool.CloseExpired(time.Now())
@@ -442,7 +457,7 @@
 		expired := n.registry.Expire(time.Now())
 		if expired {
 			n.targetsByID = n.registry.Targets()
-			// What expired is gone without a change of the list.
+			// Targets expire without a change of the list.
 			n.removals = removals{base: n.listVersion + 1}
 		}
 		n.mu.Unlock()
--- a/internal/fleet/node/pace.go
+++ b/internal/fleet/node/pace.go
@@ -6,40 +6,43 @@
 	"time"
 )
 
-// lookers is how many entries look at the store as often as one would alone.
-// Where there are more, each looks so much more seldom that all together call no
-// more often, and hears of changes from the others.
+// fullRateEntries is how many entries read the store as often as a single one
+// would. Where there are more, each reads so much less often that the total
+// rate stays the same, and receives changes from the others.
 const fullRateEntries = 8
 
-// spread returns the pause between two looks of one entry, of so many, that all
-// together look as often as the first few would with a pause of d.
+// scaleInterval returns the interval at which each of so many entries reads the
+// store, so that the total rate is that of fullRateEntries at an interval of d.
 func scaleInterval(d time.Duration, entries int) time.Duration {
 	return d * time.Duration(max(fullRateEntries, entries)) / fullRateEntries
 }
 
-// standing is what an entry's next look at the store depends on.
+// pollState is what the time of an entry's next read of the store depends on.
 type pollState struct {
-	// entries is how many entries there are, this one included.
+	// entries is the number of entries, this one included.
 	entries int
-	// holding says that this entry holds the lease, and led that another does
-	// and tells of changes.
+	// holding reports that this entry holds the lease, and led that another
+	// entry does and announces changes.
 	holding, led bool
 }
 
-// pauses are the times between two looks of an entry that holds the lease, of
-// one that is told of changes, and of one that is not.
+// polling is the intervals between two reads of the store: of the lease holder,
+// of an entry to which the holder announces changes, and of an entry without
+// such a holder.
 type polling struct {
 	holding, led, alone time.Duration
-	// polls says that a look itself waits for changes, for about the pause.
+	// longPoll reports that a read itself waits for changes, for about the
+	// interval.
 	longPoll bool
 }
 
-// due reports whether an entry that looked so long ago looks again, where it
-// asks itself at each turnCheck and has drawn a number from [0, 1).
+// due reports whether an entry that last read the store so long ago reads
+// again. It is evaluated at each pollTick with a random draw from [0, 1).
 //
-// It answers the load of hundreds of entries whose holder has died or no longer
-// hears the store: all of them would look, each as often as one alone. The draw
-// keeps those that looked long ago from looking all at once.
+// This limits the load when hundreds of entries lose their holder, or their
+// holder loses the store: otherwise each would read as often as a single one.
+// The draw prevents entries whose last read is long ago from reading all at
+// once.
 func (p polling) due(waited time.Duration, s pollState, draw float64) bool {
 	switch {
 	case s.holding:
@@ -53,16 +56,16 @@
 	}
 }
 
-// jittered returns the pauses with a part of chance, so that entries do not
-// call in step.
+// jittered returns the intervals with jitter, so that entries do not call in
+// step.
 func (p polling) jittered() polling {
 	p.holding, p.led, p.alone = jitter(p.holding), jitter(p.led), jitter(p.alone)
 
 	return p
 }
 
-// standing returns what the next look depends on. Until this entry has read who
-// there is, it takes the others for many.
+// pollState returns this entry's state for due. Until the entry has read the
+// list of members, it assumes many.
 func (n *Node) pollState() pollState {
 	entries := n.peers.listed() + 1
 	if !n.peers.scanned.Load() {
@@ -72,17 +75,18 @@
 	return pollState{entries: entries, holding: n.holder.Holding(), led: n.led()}
 }
 
-// jitter spreads d by a fifth, so that entries do not call in step.
+// jitter varies d by up to a tenth either way, so that entries do not call in
+// step.
 func jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.9 + 0.2*rand.Float64())) //nolint:gosec // No secret.
 }
 
-// noteStore takes in how the holder stands with the store, for an entry that
-// looks too seldom to find out by itself.
+// recordHolderStoreAge records whether the holder's reads of the store succeed,
+// for an entry that reads too seldom to find out by itself.
 //
-// It guards against the end of an outage: the list that the holder tells then
-// lacks targets whose entries lapsed meanwhile, and which are kept for a moment
-// by whoever knows of the outage. The caller holds the lock.
+// It guards against the end of an outage: the list that the holder then
+// announces lacks targets whose rows expired meanwhile, and which an entry that
+// has recorded the outage retains for a while. The caller holds the lock.
 func (n *Node) recordHolderStoreAge(age time.Duration, now time.Time) {
 	if n.peers.listed() < fullRateEntries {
 		return
@@ -95,8 +99,8 @@
 	}
 }
 
-// turn waits until it is time to look at the store. A word that the holder has
-// something newer ends the wait too, unless catchUp gets it from there.
+// waitForNextRead waits until the next read of the store is due. It also ends
+// when the holder announces a change that fetch cannot get without the store.
 func (n *Node) waitForNextRead(ctx context.Context, p polling, refresh <-chan struct{}, fetch func(context.Context) bool) {
 	lastRead := time.Now()
 	p = p.jittered()
--- a/internal/fleet/node/packed.go
+++ b/internal/fleet/node/packed.go
@@ -6,12 +6,12 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/frame"
 )
 
-// packed is the text of the configuration in force as peers get it: compressed
-// once for all of them. The zero value has none.
+// packedConfig is the compressed text of the configuration in force, compressed
+// once for all peers. The zero value has none.
 //
-// It answers the load of a large configuration on many small machines: the text
-// of thousands of routes takes long on a small machine's link, and whoever asks a
-// peer that is still sending it to others gives up and asks again.
+// This limits the load of a large configuration on small machines: the text of
+// thousands of routes takes long on a small machine's link, and a peer that
+// waits while it is being sent to others times out and asks again.
 type packedConfig struct {
 	mu      sync.Mutex
 	version uint64
--- a/internal/fleet/node/peers.go
+++ b/internal/fleet/node/peers.go
@@ -36,8 +36,8 @@
 	// scanned says that the entries' rows were read.
 	scanned atomic.Bool
 
-	mu   sync.Mutex
-	members roll.Roll
+	mu          sync.Mutex
+	members     roll.Roll
 	connections map[instance.ID]*peer
 }
 
@@ -47,8 +47,8 @@
 
 	client *news.Client
 	// kick says that there is something to tell it.
-	updatePending   chan struct{}
-	cancel context.CancelFunc
+	updatePending chan struct{}
+	cancel        context.CancelFunc
 }
 
 // entryRow is an entry's row in the store.
@@ -63,7 +63,7 @@
 func (p *peers) run(ctx context.Context) {
 	var (
 		scanned time.Time
-		status    storeStatus
+		status  storeStatus
 	)
 
 	written := false
@@ -396,8 +396,8 @@
 // a slow peer did not take are left out.
 func (p *peers) sendUpdates(ctx context.Context, q *peer) {
 	var (
-		acknowledged   holder.Edition
-		known bool
+		acknowledged holder.Edition
+		known        bool
 	)
 
 	for {
--- a/internal/fleet/node/quotas.go
+++ b/internal/fleet/node/quotas.go
@@ -32,11 +32,11 @@
 	// soon asks for a round of loans at once.
 	roundSoon chan struct{}
 
-	mu     sync.Mutex
-	owner   quota.Home
+	mu        sync.Mutex
+	owner     quota.Home
 	delegator quota.Lender
 	// homes are the present homes of the limits.
-	owners  quota.Homes
+	owners   quota.Homes
 	failures map[instance.ID]ownerFailures
 	// answered are the entries that have answered since this process started.
 	answered map[instance.ID]bool
@@ -48,7 +48,7 @@
 type ownerFailures struct {
 	// calls had no answer since it was last passed over, times how often it was.
 	consecutive, exclusions int
-	excludedUntil        time.Time
+	excludedUntil           time.Time
 }
 
 func (q *quotas) uptime() quota.Stamp { return quota.Stamp(clock.Now().Sub(q.node.started)) }
@@ -71,7 +71,7 @@
 	// of its team's limit: after a restart of all entries shares are lent within a
 	// term.
 	undecidedTimeout = 800 * time.Millisecond
-	undecidedPause    = 40 * time.Millisecond
+	undecidedPause   = 40 * time.Millisecond
 )
 
 // Charge implements relay.Limiter. It refuses at once what is beyond the limit,
--- a/internal/fleet/node/routing.go
+++ b/internal/fleet/node/routing.go
@@ -17,23 +17,24 @@
 )
 
 const (
-	// newsLast is for how long a holder's news go before the list of targets:
-	// the holder knows of its own loads seconds before the list does, but
-	// without a holder the list is all there is.
+	// holderStateTTL is how long the holder's snapshot takes precedence over
+	// the list of targets: the holder sees its own loads seconds before the
+	// list does, but without a holder the list is the only source.
 	holderStateTTL = 4 * time.Second
-	// absentFor is for how long a target that said that it does not hold a
-	// model is not asked for it again, doubled up to absentMost each time.
-	minAbsentPause  = 150 * time.Millisecond
+	// minAbsentPause is how long a target that reported a model as absent gets
+	// no requests for it, doubled each time up to maxAbsentPause.
+	minAbsentPause = 150 * time.Millisecond
 	maxAbsentPause = 1200 * time.Millisecond
-	// absentForget is how long after the last such word the doubling ends.
+	// absentReset is how long after the last such pause the doubling is reset.
 	absentReset = 3 * time.Second
-	// rebuildRest is how many times as long as building the routing took it is
-	// not built again, so that it takes at most a tenth of a core.
+	// rebuildPauseFactor is the pause after a rebuild of the routing as a
+	// multiple of the time it took, so that rebuilds use at most a tenth of a
+	// core.
 	rebuildPauseFactor = 9
 )
 
-// keepRouting builds the routing anew whenever what it rests on changes, and
-// when a load is expected to end.
+// maintainRouting rebuilds the routing whenever its inputs change, and when a
+// load is predicted to finish.
 func (n *Node) maintainRouting(ctx context.Context) {
 	next := time.NewTimer(time.Hour)
 	defer next.Stop()
@@ -49,14 +50,16 @@
 		began := time.Now()
 		again := n.rebuild(began)
 
-		// Changes of hundreds of engines come faster than they can be taken in.
+		// Changes of hundreds of engines arrive faster than they can be applied
+		// one by one.
 		_ = clock.Sleep(ctx, rebuildPauseFactor*time.Since(began)) // The loop looks at ctx.
 
 		next.Reset(again)
 	}
 }
 
-// rebuild builds the routing and returns when it changes by itself.
+// rebuild updates the routing and returns how long it stays valid without a
+// change of its inputs.
 func (n *Node) rebuild(now time.Time) time.Duration {
 	c := n.config()
 	if c == nil {
@@ -103,30 +106,30 @@
 	return max(time.Millisecond, b.expires.Sub(now))
 }
 
-// routed is what was applied last. Only keepRouting uses it. The zero value has
-// applied nothing.
+// appliedRouting is the routing that was applied last. Only maintainRouting
+// uses it. The zero value is an empty routing.
 type appliedRouting struct {
-	lastSnapshot  uint64
-	targets map[instance.ID]*appliedTarget
-	// keys are those that were made before.
+	lastSnapshot uint64
+	targets      map[instance.ID]*appliedTarget
+	// keys caches routing keys.
 	keys map[keyParts]string
 }
 
-// routedTarget is a target with what it had ready.
+// appliedTarget is a target and the keys that it was ready to serve.
 type appliedTarget struct {
 	address netip.AddrPort
 	keys    []string
-	// number is that of the last snapshot that had it.
+	// lastSnapshot is the number of the last snapshot that contained the
+	// target.
 	lastSnapshot uint64
 }
 
 type keyParts struct{ service, model, adapter string }
 
-// keysKept bounds the keys that are kept, those of models that are gone among
-// them.
+// maxKeys bounds the cached keys, which include those of removed models.
 const maxKeys = 16384
 
-// key returns the key of what a target holds.
+// key returns the routing key of a model or an adapter of a service.
 func (r *appliedRouting) key(service, model, adapter string) string {
 	parts := keyParts{service, model, adapter}
 	if key, ok := r.keys[parts]; ok {
@@ -147,11 +150,11 @@
 	return key
 }
 
-// begin begins a snapshot that tells what has changed since the last one.
+// beginSnapshot makes s a delta to the last snapshot.
 //
-// It answers the load of many entries and engines: one of hundreds of engines
-// changes dozens of times a second, and to build all replicas anew each time
-// takes most of an entry's processor.
+// This limits the load of many entries and engines: hundreds of engines make
+// dozens of changes a second, and rebuilding all replicas each time takes most
+// of an entry's processor.
 func (r *appliedRouting) beginSnapshot(s *router.Snapshot) {
 	s.Base = r.lastSnapshot
 	r.lastSnapshot = s.Number
@@ -161,7 +164,7 @@
 	}
 }
 
-// note adds to the snapshot what has changed of a target.
+// addChanges adds a target's changes to the snapshot.
 func (r *appliedRouting) addChanges(s *router.Snapshot, id instance.ID, address netip.AddrPort, keys []string) {
 	t := r.targets[id]
 	if t == nil {
@@ -169,7 +172,7 @@
 		r.targets[id] = t
 	}
 
-	// At a new address it is another target.
+	// A target at a new address is another target.
 	if t.address != address {
 		remove(s, id, t.keys)
 		t.address, t.keys = address, nil
@@ -190,7 +193,7 @@
 	t.keys = slices.Clone(keys)
 }
 
-// finish adds to the snapshot the targets that are gone.
+// addRemovedTargets adds the removal of targets that are not in the snapshot.
 func (r *appliedRouting) addRemovedTargets(s *router.Snapshot) {
 	for id, t := range r.targets {
 		if t.lastSnapshot != s.Number {
@@ -207,7 +210,7 @@
 	}
 }
 
-// without returns the keys that are not among the others.
+// difference returns the keys that are not in others.
 func difference(keys, others []string) []string {
 	var out []string
 
@@ -220,19 +223,21 @@
 	return out
 }
 
-// builder makes a routing snapshot of what is known of the targets.
+// builder builds a routing snapshot.
 type builder struct {
 	applied *appliedRouting
-	now    time.Time
-	// next is when the snapshot is out of date by itself.
-	expires   time.Time
+	now     time.Time
+	// expires is when the snapshot becomes outdated without a change of its
+	// inputs.
+	expires  time.Time
 	absences map[holder.Missing]absence
-	// count tells apart the holder's counts of what runs on targets.
-	countID    uint64
+	// countID distinguishes the holder's successive counts of running requests.
+	countID  uint64
 	snapshot router.Snapshot
-	// keys are what the target that is added has ready.
+	// keys are the ready keys of the target being added.
 	keys []string
-	// coming is when the first replica of a key is ready that is not yet.
+	// upcoming is the time at which the first replica of a key that is not
+	// ready yet will be.
 	upcoming map[string]time.Time
 }
 
@@ -277,12 +282,12 @@
 	b.applied.addChanges(&b.snapshot, t.ID, t.Address, b.keys)
 }
 
-// reportAge makes a death that was found stand until a newer process is
-// listed.
+// reportAge is set so that a detected death of a target stands until a newer
+// process is listed.
 const reportAge = time.Second
 
-// heldBy returns what a target holds: by the holder's news if there are any,
-// or else by the list.
+// residentModels returns the models on a target: from the holder's engine state
+// if there is one, or else from the list.
 func residentModels(t inventory.Target, s *holder.Station) []holder.Held {
 	if s != nil {
 		return s.Held
@@ -300,7 +305,7 @@
 	return out
 }
 
-// replica adds what is ready by now, and notes when the rest will be.
+// addReplica adds a key that is ready, or records when it will be.
 func (b *builder) addReplica(id instance.ID, key string, ready time.Time) {
 	if len(b.absences) > 0 {
 		if a, ok := b.absences[holder.Missing{Target: id, Key: key}]; ok {
@@ -323,7 +328,7 @@
 	b.keys = append(b.keys, key)
 }
 
-// expect notes models that the holder foretells.
+// addPredictions adds the loads that the holder predicts.
 func (b *builder) addPredictions(waits []holder.Wait) {
 	for _, w := range waits {
 		if _, ok := b.upcoming[w.Key]; !ok && w.Ready.After(b.now) {
@@ -332,23 +337,23 @@
 	}
 }
 
-// wait says for which keys a replica is on its way, so that requests which
-// cannot wait so long are refused at once.
+// addWaits adds the keys whose replicas are not ready yet, so that requests
+// whose deadline is earlier are refused at once.
 func (b *builder) addWaits() {
 	for key, ready := range b.upcoming {
 		b.snapshot.Waits = append(b.snapshot.Waits, router.Wait{Model: key, Ready: ready.Sub(b.now)})
 	}
 }
 
-// absence is a target's word that it does not hold a key.
+// absence is a target's report that it does not hold a key.
 type absence struct {
-	// until is from when the target is asked again, and pause how long that
-	// was at the last word.
+	// until is when requests for the key may be sent to the target again, and
+	// pause the length of the last pause.
 	until time.Time
 	pause time.Duration
 }
 
-// foundAbsent notes that a target does not hold a key.
+// recordAbsent records that a target does not hold a key.
 func (n *Node) recordAbsent(t *router.Target, key string) {
 	m := holder.Missing{Target: t.ID, Key: key}
 
@@ -356,7 +361,7 @@
 
 	now, a := time.Now(), n.absences[m]
 	if now.After(a.until) {
-		// Requests that were sent together count once.
+		// Requests that were sent at the same time count once.
 		a.pause = min(max(minAbsentPause, 2*a.pause), maxAbsentPause)
 		a.until = now.Add(a.pause)
 		n.absences[m] = a
@@ -368,7 +373,7 @@
 	signal(n.reportSoon)
 }
 
-// foundUnreached tells the holder that a target takes no connection.
+// recordUnreachable reports to the holder that a target accepts no connections.
 func (n *Node) recordUnreachable(t *router.Target) {
 	n.mu.Lock()
 	n.unreportedMissing = append(n.unreportedMissing, holder.Missing{Target: t.ID})
@@ -376,7 +381,8 @@
 	signal(n.reportSoon)
 }
 
-// foundMoved notes that another instance has a target's address.
+// markMoved marks a target as leaving because another instance answers at its
+// address.
 func (n *Node) markMoved(t *router.Target) {
 	if t.MarkLeaving() {
 		n.cfg.Log.Warn().Str("target", string(t.ID)).Stringer("address", t.Address).Msg("address belongs to another target")
--- a/internal/fleet/node/traffic.go
+++ b/internal/fleet/node/traffic.go
@@ -8,8 +8,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// counts sums what happened since the process started, by kind. The zero value
-// has counted nothing.
+// counts sums events by kind since the process started. The zero value is ready
+// to use.
 type counts struct {
 	mu   sync.Mutex
 	sums map[string]int
@@ -33,8 +33,8 @@
 	return maps.Clone(c.sums)
 }
 
-// traffic counts the bytes of calls to other entries, with their answers, by
-// what they are for. Set metrics before use.
+// traffic counts the bytes of calls to other entries and of their responses, by
+// kind of call. Set metrics before use.
 type traffic struct {
 	counts
 
--- a/internal/fleet/node/view.go
+++ b/internal/fleet/node/view.go
@@ -10,8 +10,8 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/news"
 )
 
-// takeView takes in a peer's list of targets, if it is newer. It reports
-// whether this entry's list is as new now.
+// applyView applies a peer's list of targets if it is newer. It reports whether
+// this entry's list is now at least as new as the peer's.
 func (n *Node) applyView(v news.View, from *peer) bool {
 	now := time.Now()
 	changes := make([]inventory.Change, 0, len(v.Targets)+len(v.Gone))
@@ -49,8 +49,8 @@
 	return true
 }
 
-// apply takes changes of the list into the book, as of the version that was
-// noted. The caller holds the lock.
+// apply applies changes of the list to the registry, as of n.listVersion. The
+// caller holds the lock.
 func (n *Node) apply(changes []inventory.Change, whole bool, now time.Time) {
 	if whole {
 		n.registry.Replace(changes, now)
@@ -62,8 +62,8 @@
 	n.removals.record(changes, whole, n.listVersion)
 }
 
-// unlisted returns the removals of the targets that are not on a peer's list.
-// The caller holds the lock.
+// unlisted returns removals for the targets that are missing from a peer's
+// list. The caller holds the lock.
 func (n *Node) unlisted(v news.View) []inventory.Change {
 	listed := make(map[uint64]bool, len(v.Listed))
 	for _, hash := range v.Listed {
@@ -81,20 +81,20 @@
 	return out
 }
 
-// listSum stands for a target's id where a whole list of them is told.
+// idHash returns the hash that represents a target's id where a view names a
+// whole list of them.
 func idHash(id instance.ID) uint64 { return xxhash.Sum64String(string(id)) }
 
-// removals are the targets that went from the list and the versions at which
-// they did, so that peers can be told only what is new to them. The zero value
-// knows nothing.
+// removals records which targets were removed from the list at which versions,
+// so that peers can be sent only what changed. The zero value has no records.
 type removals struct {
-	// base is the version from which on every removal is known.
-	base uint64
-	removedAt   map[instance.ID]uint64
+	// base is the version after which all removals are recorded.
+	base      uint64
+	removedAt map[instance.ID]uint64
 }
 
-// removalsKept bounds the removals that are kept: twice the 3,300 targets of the
-// size to design for.
+// maxRemovals bounds the recorded removals: twice the 3,300 targets of the
+// largest size designed for.
 const maxRemovals = 6600
 
 func (r *removals) record(changed []inventory.Change, whole bool, version uint64) {
@@ -134,12 +134,13 @@
 	return out
 }
 
-// listSince puts into a view what changed on the list since a version; zero
-// stands for a peer without a list. The caller holds the lock.
+// addListChanges adds to a view what changed on the list since a version; zero
+// means that the peer has no list. The caller holds the lock.
 //
-// It answers the load of hundreds of entries that start or hear no holder: each
-// asks others several times a second, and the whole list of thousands of targets
-// takes a link a third of a second.
+// Sending only changes limits the load when hundreds of entries start or
+// receive nothing from a holder: each polls others several times a second, and
+// the whole list of thousands of targets occupies a link for a third of a
+// second.
 func (n *Node) addListChanges(version uint64, out *news.View) {
 	out.List, out.Base = n.listVersion, version
 
@@ -149,8 +150,9 @@
 	}
 
 	for id, t := range n.targetsByID {
-		// One that is kept for a while has no entry: its peer must judge itself,
-		// or it would keep it for good.
+		// A target that is retained for a while has no row in the list. The
+		// peer must decide by itself whether to retain it, or it would keep the
+		// target forever.
 		if n.registry.Missing(id) {
 			continue
 		}
@@ -169,8 +171,9 @@
 	}
 }
 
-// goneSince returns the targets that went from the list since a version, and
-// those that are kept for a while though they did. The caller holds the lock.
+// removedSince returns the targets that were removed from the list since a
+// version, including those that this entry still retains for a while. The
+// caller holds the lock.
 func (n *Node) removedSince(version uint64) []instance.ID {
 	var out []instance.ID
 
--- a/internal/fleet/node/view_test.go
+++ b/internal/fleet/node/view_test.go
@@ -17,7 +17,9 @@
 )
 
 // listing returns an entry that follows no store by itself.
-func nodeWithoutStore(id instance.ID) *Node { return New(Config{Self: id, Entries: 1, Log: zerolog.Nop()}) }
+func nodeWithoutStore(id instance.ID) *Node {
+	return New(Config{Self: id, Entries: 1, Log: zerolog.Nop()})
+}
 
 func (n *Node) leaving() map[instance.ID]bool {
 	out := make(map[instance.ID]bool)
--- a/internal/fleet/node/watch.go
+++ b/internal/fleet/node/watch.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	// configWait is how long one call of an entry on its own waits for a
-	// configuration. A change must be in force within 2 s, also when the
-	// connection has gone silent. The holder's calls are short, since all rest
-	// on them.
+	// configWait is how long one call waits for a configuration change when no
+	// other entry announces changes. A change must be in force within 2 s, also
+	// when the connection has stalled. The holder's calls are shorter, since
+	// all entries depend on them.
 	configWait        = 1200 * time.Millisecond
 	configWaitHolding = 500 * time.Millisecond
-	// targetsPause is the time between two looks at the list of targets of an
-	// entry on its own. A leaving target must get nothing after 2 s, and each
-	// look costs a call.
+	// targetsInterval is the time between two reads of the list of targets when
+	// no other entry announces changes. A leaving target must get no requests
+	// after 2 s, and each read costs a call.
 	targetsInterval        = 600 * time.Millisecond
 	targetsIntervalHolding = 450 * time.Millisecond
-	// pauseLed is the time between two looks of an entry that the holder tells
-	// of changes.
+	// ledInterval is the time between two reads of an entry to which the holder
+	// announces changes.
 	ledInterval = 15 * time.Second
-	// targetsPauseTold is the time before a look when the holder tells of changes
-	// and does not answer for them: at a site's start all targets
-	// register within seconds, and all entries would look at each.
+	// targetsReadDelay is the time before a read of the list that the holder
+	// has announced but does not provide: when a site starts, all targets
+	// register within seconds, and all entries would read the list after each.
 	targetsReadDelay = 400 * time.Millisecond
-	// turnCheck is how often an entry looks whether the holder still tells of
-	// changes.
+	// pollTick is how often an entry checks whether a read of the store is due.
 	pollTick = 200 * time.Millisecond
-	// holderKnows is how old the holder's knowledge of the store may be for the
-	// others to rest on it: its looks are half a second apart and its news 0.4 s,
-	// and with a look of their own the others are still within 2 s.
+	// maxHolderStoreAge is how long ago the holder may have last read the store
+	// for the other entries to rely on it: its reads are half a second apart
+	// and its announcements 0.4 s, and with a read of their own the others
+	// still notice a change within 2 s.
 	maxHolderStoreAge = 1300 * time.Millisecond
-	// failurePause is the time between two calls to a store that fails, doubled
-	// each time up to failureMost: entries have seconds after its return, and the
-	// calls of many cost more than they find out.
+	// minBackoff is the time between two calls to a failing store, doubled each
+	// time up to maxBackoff: entries may take seconds to resume after its
+	// return, and frequent calls of many entries cost more than they gain.
 	minBackoff = 250 * time.Millisecond
-	maxBackoff  = time.Second
+	maxBackoff = time.Second
 )
 
 var (
@@ -49,11 +49,11 @@
 	targetsPolling = polling{holding: targetsIntervalHolding, led: ledInterval, alone: targetsInterval}
 )
 
-// watchConfig keeps the configuration in force up to date.
+// watchConfig keeps the configuration up to date.
 func (n *Node) watchConfig(ctx context.Context) {
 	var (
-		after uint64
-		status  storeStatus
+		after  uint64
+		status storeStatus
 	)
 
 	for ctx.Err() == nil {
@@ -79,7 +79,7 @@
 		if c != nil {
 			n.activateConfig(c)
 		} else {
-			// Nothing changed, or nothing was ever written.
+			// Nothing changed, or no configuration was ever written.
 			_ = clock.Sleep(ctx, jitter(minBackoff)/10) //nolint:mnd // Only so that an empty store is not asked in a loop.
 		}
 
@@ -87,8 +87,9 @@
 	}
 }
 
-// rest waits after a call that failed. Where there are many entries it is the
-// others who find out that the store is back.
+// backOff waits after a failed call. Where there are many entries, it also
+// waits for the next regular read, as the other entries detect the store's
+// return.
 func (n *Node) backOff(ctx context.Context, status *storeStatus, err error, p polling, refresh <-chan struct{}, fetch func(context.Context) bool) {
 	_ = clock.Sleep(ctx, status.backoff()) // The loop's owner looks at ctx.
 
@@ -114,12 +115,12 @@
 	return n.cfg.Source.ConfigurationAfter(ctx, after, configWait)
 }
 
-// led reports whether another entry holds the lease and knows what stands in
-// the store, so that it tells of what changes there.
+// led reports whether another entry holds the lease and reads the store, so
+// that it announces changes.
 //
-// It guards against a holder that the store no longer serves while it serves
-// this entry: a change that the operators were told is in force would be hidden
-// until the holder's calls had timed out.
+// It guards against a holder that the store does not answer while it answers
+// this entry: a change that was reported to the operators as in force would
+// stay unnoticed until the holder's calls had timed out.
 func (n *Node) led() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -127,8 +128,8 @@
 	return n.holderState.Holder != n.cfg.Self && !n.holderReceived.IsZero() && n.holderState.StoreAge+time.Since(n.holderReceived) < maxHolderStoreAge
 }
 
-// catchUpTargets learns the newest list from the holder. It reports false
-// when the store must be asked.
+// fetchTargets fetches the newest list from the holder. It reports false when
+// the store must be read.
 func (n *Node) fetchTargets(ctx context.Context) bool {
 	if n.fetchListFromHolder(ctx) {
 		return true
@@ -139,11 +140,11 @@
 	return false
 }
 
-// putInForce takes a configuration in, unless it is older than the one in
-// force.
+// activateConfig puts a configuration in force, unless it is older than the
+// current one.
 //
-// It guards against answers that overtake each other and against a whole read
-// after lost history: a version must never go back within a process.
+// It guards against answers that arrive out of order and against a full read
+// after lost history: the version must never decrease within a process.
 func (n *Node) activateConfig(c *route.Config) {
 	if old := n.config(); old != nil && old.Version >= c.Version {
 		return
@@ -164,8 +165,8 @@
 // watchTargets keeps the list of targets up to date.
 func (n *Node) watchTargets(ctx context.Context) {
 	var (
-		after uint64
-		status  storeStatus
+		after  uint64
+		status storeStatus
 	)
 
 	for ctx.Err() == nil {
@@ -184,7 +185,7 @@
 			continue
 		}
 
-		// A peer may have told of a newer list meanwhile.
+		// A peer may have sent a newer list meanwhile.
 		if n.applyTargets(changes, after == 0, version) {
 			after = version
 		} else {
@@ -195,8 +196,8 @@
 	}
 }
 
-// noteFailure records that the store did not answer, which lost history does
-// not mean.
+// recordStoreFailure records that the store did not answer. Lost history is an
+// answer.
 func (n *Node) recordStoreFailure(err error) {
 	var gone *inventory.HistoryGoneError
 	if errors.As(err, &gone) {
@@ -219,8 +220,8 @@
 	return n.cfg.Source.TargetsAfter(ctx, after, 0)
 }
 
-// restart returns from which version to go on after an error: from the
-// beginning when changes were lost.
+// resumeVersion returns the version from which to continue after an error:
+// zero, to read everything again, when history was lost.
 func resumeVersion(err error, after uint64) uint64 {
 	var gone *inventory.HistoryGoneError
 	if errors.As(err, &gone) {
@@ -230,8 +231,8 @@
 	return after
 }
 
-// takeTargets takes in what the store says of the targets as of a version. It
-// reports false, and changes nothing, when a newer list is known.
+// applyTargets applies what the store returned about targets at a version. It
+// reports false, and changes nothing, when a newer list was already applied.
 func (n *Node) applyTargets(changes []inventory.Change, whole bool, version uint64) bool {
 	now := time.Now()
 
@@ -265,8 +266,8 @@
 	return true
 }
 
-// changesUse reports whether changes of the list change which targets may be
-// used, and not only what they hold. The caller holds the lock.
+// changesUsable reports whether changes of the list affect which targets may be
+// used, and not only which models are on them. The caller holds the lock.
 func (n *Node) changesUsable(changes []inventory.Change, whole bool) bool {
 	if whole {
 		return true
@@ -300,15 +301,15 @@
 	return n.targetsByID
 }
 
-// link tells once when a dependency is lost and once when it is back.
+// storeStatus logs once when the store is lost and once when it is back.
 type storeStatus struct {
 	lost  bool
 	since time.Time
-	// failed counts the calls without an answer since the last one with.
+	// failed is the number of consecutive failed calls.
 	failed int
 }
 
-// pause returns how long to wait after a failure.
+// backoff returns how long to wait after a failure.
 func (l *storeStatus) backoff() time.Duration {
 	return jitter(min(minBackoff<<min(max(0, l.failed-1), 2), maxBackoff)) //nolint:mnd // Doubled twice.
 }
