--- a/internal/fleet/node/confirm.go
+++ b/internal/fleet/node/confirm.go
@@ -75,7 +75,7 @@
 	defer cancel()
 
 	if store {
-		_ = n.confirmWithStore(ctx) || n.confirmWithHolder(ctx) // What nobody answers stays as it is.
+		_ = n.confirmWithStore(ctx) || n.confirmWithHolder(ctx) // Without an answer the configuration stays as it is.
 	} else {
 		_ = n.confirmWithHolder(ctx) || n.confirmWithStore(ctx)
 	}
@@ -98,7 +98,7 @@
 // reports whether the store answered.
 func (n *Node) confirmWithStore(ctx context.Context) bool {
 	// The rest of the time is for the holder if the store does not answer.
-	ctx, cancel := context.WithTimeout(ctx, confirmTimeout/2) //nolint:mnd // Half of the time for either.
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout/2) //nolint:mnd // Half of the time for each.
 	defer cancel()
 
 	n.mu.Lock()
@@ -109,7 +109,7 @@
 
 	switch {
 	case err != nil:
-		n.cfg.Log.Info().Err(err).Msg("configuration not confirmed by the store")
+		n.cfg.Log.Info().Err(err).Msg("cannot confirm configuration with the store")
 
 		return false
 	case c != nil:
--- a/internal/fleet/node/handler.go
+++ b/internal/fleet/node/handler.go
@@ -34,7 +34,7 @@
 func (n *Node) applyHolderState(latest holder.News) {
 	n.mu.Lock()
 	if n.holderState.Token != latest.Token {
-		n.cfg.Log.Info().Str("holder", string(latest.Holder)).Uint64("token", latest.Token).Msg("holder heard")
+		n.cfg.Log.Info().Str("holder", string(latest.Holder)).Uint64("token", latest.Token).Msg("lease holder changed")
 	}
 
 	n.holderReceived = time.Now()
@@ -174,7 +174,7 @@
 	n.mu.Unlock()
 
 	if n.holder.Holding() {
-		_ = n.holder.Report(r, missing) // It may just have lost the lease, then the next report goes elsewhere.
+		_ = n.holder.Report(r, missing) // If it just lost the lease, the next report goes to the new holder.
 
 		return
 	}
@@ -186,7 +186,7 @@
 
 	go func() {
 		if err := q.client.Report(ctx, r, missing); err != nil && ctx.Err() == nil {
-			n.cfg.Log.Debug().Err(err).Str("holder", string(q.ID)).Msg("report not taken")
+			n.cfg.Log.Debug().Err(err).Str("holder", string(q.ID)).Msg("cannot send report to holder")
 		}
 	}()
 }
--- a/internal/fleet/node/homes.go
+++ b/internal/fleet/node/homes.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// homesOfLimits is how many entries decide on limits: a death among them
-	// touches a part of the teams only.
+	// maxOwners is how many entries own limits: the death of one affects only a
+	// part of the teams.
 	maxOwners = 3
-	// formerHomes is how many of the strongest entries are asked after a start
-	// whether the process before had lent them something: a home is not among them
-	// only where more than half of them were passed over.
+	// maxFormerOwners is how many of the strongest entries are queried after a
+	// start whether the previous process had delegated shares to them: an owner
+	// is missing among them only if more than half of them were excluded.
 	maxFormerOwners = 8
-	// formerAsked is for how long after a start they are asked.
+	// formerOwnersPeriod is how long after a start they are queried.
 	formerOwnersPeriod = 2 * time.Second
 )
 
-// former returns the entries that may have been homes before this process
-// started, if all entries are known.
+// formerOwners returns the entries that may have been owners before this
+// process started, or nil if the list of entries is not complete yet.
 func (q *quotas) formerOwners() []instance.ID {
 	if !q.node.peers.scanned.Load() {
 		return nil
@@ -41,8 +41,9 @@
 	return out
 }
 
-// present returns the members that are known to be there: those that are alive,
-// and after a start, when few were heard yet, those that have answered.
+// presentMembers returns the members that are known to run: those that are
+// alive, and shortly after a start, when few heartbeats have arrived, also
+// those that have answered.
 func (q *quotas) presentMembers() []roll.Member {
 	out := q.node.peers.alive()
 
@@ -67,8 +68,8 @@
 	return out
 }
 
-// choose returns the homes of all limits: a few of the strongest entries that are
-// alive and answer. The parts of a group have different homes.
+// chooseOwners returns the owners of all limits: a few of the strongest entries
+// that are alive and answer. The parts of a group have different owners.
 func (q *quotas) chooseOwners(alive []roll.Member) quota.Homes {
 	now := clock.Now()
 
@@ -83,24 +84,24 @@
 	return assignOwners(strongest(alive, maxOwners))
 }
 
-// passedOver reports whether an entry has been silent too often to be a home. The
+// excluded reports whether an entry has failed too often to be an owner. The
 // caller holds the lock.
 func (q *quotas) excluded(id instance.ID, now time.Time) bool {
 	return now.Before(q.failures[id].excludedUntil)
 }
 
-// strongest returns so many of the strongest members, in an order on which all
-// entries agree.
+// strongest returns the n strongest members, in an order that is the same on
+// all entries.
 func strongest(members []roll.Member, n int) []roll.Member {
 	slices.SortFunc(members, func(a, b roll.Member) int {
-		// Peers know each other's strength as a float32 only.
+		// Peers receive each other's strength as a float32 only.
 		return cmp.Or(cmp.Compare(float32(b.Strength), float32(a.Strength)), cmp.Compare(instance.Score("limits", b.ID), instance.Score("limits", a.ID)))
 	})
 
 	return members[:min(n, len(members))]
 }
 
-// divide divides the limits among their homes.
+// assignOwners distributes the limits over the members.
 func assignOwners(members []roll.Member) quota.Homes {
 	var out quota.Homes
 
--- a/internal/fleet/node/learn.go
+++ b/internal/fleet/node/learn.go
@@ -64,7 +64,7 @@
 
 	v, err := q.client.View(ctx, have)
 	if err != nil {
-		n.cfg.Log.Debug().Err(err).Str("peer", string(q.ID)).Msg("peer not asked")
+		n.cfg.Log.Debug().Err(err).Str("peer", string(q.ID)).Msg("cannot query peer")
 
 		return
 	}
@@ -72,7 +72,7 @@
 	n.applyPeerConfig(v, q)
 
 	if v.List > 0 {
-		_ = n.applyView(v, q) // What it could not take in is asked for again.
+		_ = n.applyView(v, q) // A view that does not fit is fetched again.
 	}
 }
 
@@ -102,7 +102,7 @@
 	}
 
 	for range tries {
-		_ = clock.Sleep(ctx, jitter(configFetchInterval)) // The next call looks at ctx.
+		_ = clock.Sleep(ctx, jitter(configFetchInterval)) // The next call checks ctx.
 
 		n.fetchFromPeer(ctx, n.peers.random(), n.configOnly())
 
@@ -158,7 +158,7 @@
 		case <-announced:
 		}
 
-		_ = clock.Sleep(ctx, announcementDelay) // The loop looks at ctx.
+		_ = clock.Sleep(ctx, announcementDelay) // The loop checks ctx.
 
 		fetch()
 	}
@@ -246,7 +246,7 @@
 
 	v, err := q.client.View(ctx, have)
 	if err != nil {
-		n.cfg.Log.Debug().Err(err).Str("holder", string(q.ID)).Msg("holder not asked")
+		n.cfg.Log.Debug().Err(err).Str("holder", string(q.ID)).Msg("cannot query holder")
 
 		return news.View{}, nil
 	}
@@ -268,7 +268,7 @@
 	}
 
 	if err != nil {
-		n.cfg.Log.Warn().Err(err).Str("peer", string(from.ID)).Msg("configuration of a peer cannot be read")
+		n.cfg.Log.Warn().Err(err).Str("peer", string(from.ID)).Msg("cannot decode configuration of peer")
 
 		return
 	}
--- a/internal/fleet/node/lending.go
+++ b/internal/fleet/node/lending.go
@@ -14,19 +14,22 @@
 )
 
 const (
-	// lendAnswers bounds a loan, which no request waits for.
+	// delegationTimeout bounds a call that delegates shares, which no request
+	// waits for.
 	delegationTimeout = 400 * time.Millisecond
-	// silentAfter is after how many calls without an answer, one after the other,
-	// an entry is passed over as a home, and silentFor for how long, doubled each
-	// time up to eight times: one that lost power stays on the list for long.
+	// excludeAfter is the number of consecutive failed calls after which an
+	// entry is excluded as an owner, and excludeFor for how long, doubled each
+	// time up to eight times that: an entry that lost power stays on the list
+	// for long.
 	excludeAfter        = 2
 	excludeFor          = 3 * time.Second
 	maxExcludeDoublings = 3
-	// soonPause keeps rounds that are asked for at once apart.
+	// roundSpacing is the delay of a round that is requested at once, so that
+	// requests are combined.
 	roundSpacing = 20 * time.Millisecond
 )
 
-// run lends this entry's shares until ctx ends.
+// run delegates this entry's shares until ctx ends.
 func (q *quotas) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if c := q.node.config(); c != nil && c.Teams.Limited() {
@@ -39,7 +42,7 @@
 		select {
 		case <-ctx.Done():
 		case <-q.roundSoon:
-			_ = clock.Sleep(ctx, roundSpacing) // The loop looks at ctx.
+			_ = clock.Sleep(ctx, roundSpacing) // The loop checks ctx.
 		case <-t.C:
 		}
 
@@ -47,7 +50,7 @@
 	}
 }
 
-// round lends once to all homes.
+// round delegates once to all owners.
 func (q *quotas) round(ctx context.Context) {
 	if clock.Now().Sub(q.delegator.Started) < formerOwnersPeriod {
 		q.queryFormerOwners(ctx)
@@ -75,7 +78,7 @@
 	}
 }
 
-// forget drops what is kept of teams that are no longer in force.
+// dropRemovedTeams drops the state of teams that are not in the configuration.
 func (q *quotas) dropRemovedTeams(c *route.Config) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -83,8 +86,8 @@
 	q.owner.Keep(func(name string) bool { return c.Teams.ByName(name) != nil })
 }
 
-// askFormer asks the entries that may have been homes before this process
-// started.
+// queryFormerOwners queries the entries that may have been owners before this
+// process started.
 func (q *quotas) queryFormerOwners(ctx context.Context) {
 	former := q.formerOwners()
 
@@ -97,7 +100,8 @@
 	}
 }
 
-// ask asks an entry what it holds of this entry's share.
+// queryFormerOwner asks an entry which part of this entry's share was delegated
+// to it.
 func (q *quotas) queryFormerOwner(ctx context.Context, id instance.ID) {
 	p := q.node.peers.connection(id)
 	if p == nil {
@@ -122,13 +126,14 @@
 		signal(q.roundSoon)
 	}
 
-	// Where nobody listens, whoever comes started after this process.
+	// Where no process listens, any that starts there is newer than this
+	// process.
 	if err == nil || errors.Is(err, syscall.ECONNREFUSED) {
 		q.delegator.Holds(id, r.Held)
 	}
 }
 
-// lend makes one loan.
+// delegate sends one delegation.
 func (q *quotas) delegate(ctx context.Context, owner quota.Process, l news.Lending) {
 	r, err := q.sendDelegation(ctx, owner, l)
 	at := clock.Now()
@@ -144,8 +149,8 @@
 	case r.Process != owner.Run:
 		q.ownerEnded(owner)
 
-		// Whoever is on the list there has ended; a greeting brings its successor.
-		go func() { _ = q.node.peers.gossip(ctx, owner.ID) }() // The next round finds out.
+		// The listed process has ended; gossip finds its successor.
+		go func() { _ = q.node.peers.gossip(ctx, owner.ID) }() // The next round detects a failure.
 	default:
 		delete(q.failures, owner.ID)
 
@@ -162,7 +167,7 @@
 
 	p := q.ownerPeer(owner)
 	if p == nil {
-		// No process has this receipt's name, so the home counts as ended.
+		// The receipt names no process, so the owner counts as ended.
 		return news.Receipt{}, nil
 	}
 
@@ -172,7 +177,8 @@
 	return p.client.Lend(ctx, l)
 }
 
-// way returns the way to a home, or nil if another process has taken its place.
+// ownerPeer returns the connection to an owner, or nil if its process has been
+// replaced.
 func (q *quotas) ownerPeer(owner quota.Process) *peer {
 	p := q.node.peers.connection(owner.ID)
 	if p == nil || p.Process != owner.Run {
@@ -182,10 +188,9 @@
 	return p
 }
 
-// noteFailure notes a call to a home without an answer. The caller holds the
-// lock.
+// recordFailure records a failed call to an owner. The caller holds the lock.
 func (q *quotas) recordFailure(owner quota.Process, err error) {
-	// Only a process that has ended refuses connections.
+	// A connection is refused only if the process has ended.
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		q.ownerEnded(owner)
 	}
@@ -201,15 +206,15 @@
 		s.consecutive, s.excludedUntil = 0, clock.Now().Add(excludeFor<<min(s.exclusions, maxExcludeDoublings))
 		s.exclusions++
 
-		q.node.cfg.Log.Info().Err(err).Str("home", string(owner.ID)).Msg("home of limits passed over")
+		q.node.cfg.Log.Info().Err(err).Str("home", string(owner.ID)).Msg("limit owner excluded")
 		signal(q.roundSoon)
 	}
 
 	q.failures[owner.ID] = s
 }
 
-// ended notes that a home's process has ended or stops. The caller holds the
-// lock.
+// ownerEnded records that an owner's process has ended or is stopping. The
+// caller holds the lock.
 func (q *quotas) ownerEnded(owner quota.Process) {
 	q.delegator.Ended(owner)
 	signal(q.roundSoon)
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -276,7 +276,7 @@
 	_ = peerListener.Close()
 
 	cancel()
-	waitTimeout(&wg, stopMargin/2) //nolint:mnd // The rest is for the process to end.
+	waitTimeout(&wg, stopMargin/2) //nolint:mnd // The rest is for the process to exit.
 	n.cfg.Log.Info().Msg("stopped")
 
 	return nil
@@ -294,7 +294,7 @@
 
 func (n *Node) logServeError(what string, err error) {
 	if !n.stopping.Load() && !errors.Is(err, http.ErrServerClosed) {
-		n.cfg.Log.Error().Err(err).Str("listener", what).Msg("listener ended")
+		n.cfg.Log.Error().Err(err).Str("listener", what).Msg("listener failed")
 	}
 }
 
@@ -332,7 +332,7 @@
 	leave.Go(func() { n.holder.Release(ctx) })
 	leave.Go(func() { n.peers.announceLeaving(ctx) })
 
-	_ = clock.Sleep(ctx, readinessDelay-time.Since(began)) // It ends early only at the end of the grace.
+	_ = clock.Sleep(ctx, readinessDelay-time.Since(began)) // Ends early only at the end of the grace period.
 
 	n.relay.EnterPhase(relay.RefusingNewStreams)
 
@@ -340,7 +340,7 @@
 	defer ending.Stop()
 
 	if err := front.Shutdown(ctx); err != nil {
-		n.cfg.Log.Warn().Err(err).Int("running", n.relay.Running()).Msg("requests broken off at the end of the grace time")
+		n.cfg.Log.Warn().Err(err).Int("running", n.relay.Running()).Msg("requests aborted at the end of the grace period")
 	}
 
 	_ = front.Close()
@@ -355,7 +355,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	defer cancel()
 
-	_ = clock.Wait(ctx, wg) // What is late ends with the process.
+	_ = clock.Wait(ctx, wg) // Unfinished work ends with the process.
 }
 
 // readinessHandler answers the platform's readiness checks.
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -44,7 +44,7 @@
 	return s
 }
 
-// ask is one request with ample time.
+// ask sends one request with ample time.
 func ask(t *testing.T, e *site.Entry, id, path, body, model string) site.Reply {
 	t.Helper()
 
@@ -54,7 +54,7 @@
 	return r
 }
 
-// within waits until ok, for at most d.
+// within waits until ok returns true, for at most d.
 func within(t *testing.T, d time.Duration, what string, ok func() bool) {
 	t.Helper()
 
@@ -63,8 +63,9 @@
 	}
 }
 
-// TestCalm: every kind of request is answered whole by every entry, also for
-// models and adapters that are loaded nowhere, and each runs once.
+// TestCalm checks that every entry answers every kind of request completely,
+// also for models and adapters that are loaded nowhere, and that each request
+// runs once.
 func TestCalm(t *testing.T) {
 	t.Parallel()
 
@@ -106,9 +107,9 @@
 	assert.DeepEqual(t, s.Broken(), []string(nil))
 }
 
-// TestStoreTurnsOneAway: the store serves two entries and not the third, or
-// answers it with silence. A change of the operators is acknowledged and a
-// target leaves; the third learns both from its peers.
+// TestStoreTurnsOneAway lets the store serve two entries and refuse the third,
+// or not answer it. A configuration change is acknowledged and a target leaves;
+// the third entry must receive both from its peers.
 func TestStoreTurnsOneAway(t *testing.T) {
 	for name, faults := range map[string]rows.Faults{"refused": {Down: true}, "silent": {Silent: true}} {
 		t.Run(name, func(t *testing.T) {
@@ -126,7 +127,7 @@
 			})
 			s.Leave("desk-0")
 
-			within(t, 6*time.Second, "the change never came", func() bool {
+			within(t, 6*time.Second, "the change did not arrive", func() bool {
 				return ask(t, e, "new", "/new/x", "", "").Status == http.StatusOK
 			})
 			time.Sleep(2 * time.Second)
@@ -134,16 +135,16 @@
 			for i := range 8 {
 				id := fmt.Sprintf("after-%d", i)
 				assert.Equal(t, ask(t, e, id, "/look/x", "", "").Status, http.StatusOK)
-				assert.Equal(t, s.Desks["desk-0"].Runs(id), 0, "sent to a target that left")
+				assert.Equal(t, s.Desks["desk-0"].Runs(id), 0, "request sent to a target that left")
 			}
 		})
 	}
 }
 
-// TestHolderDoesNotHear: the store falls silent for one entry, which may be the
-// holder that tells the others of changes, and serves them all the while. A
-// target leaves. The others must look for themselves in time, or they send to
-// it for longer than 2 s.
+// TestHolderDoesNotHear lets the store stop answering one entry, which may be
+// the holder that announces changes to the others, while it still serves them.
+// A target leaves. The others must read the store themselves in time, or they
+// send requests to the target for longer than 2 s.
 func TestHolderDoesNotHear(t *testing.T) {
 	for i := range 3 {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
@@ -163,15 +164,15 @@
 				for k := range 8 {
 					id := fmt.Sprintf("after-%d-%d", j, k)
 					assert.Equal(t, ask(t, e, id, "/look/x", "", "").Status, http.StatusOK)
-					assert.Equal(t, s.Desks["desk-0"].Runs(id), 0, "sent to a target that left")
+					assert.Equal(t, s.Desks["desk-0"].Runs(id), 0, "request sent to a target that left")
 				}
 			}
 		})
 	}
 }
 
-// TestHistoryForgotten: the store forgets its history while changes are made.
-// Entries read the whole again and miss nothing.
+// TestHistoryForgotten lets the store lose its history while changes are made.
+// Entries must read everything again and miss no change.
 func TestHistoryForgotten(t *testing.T) {
 	t.Parallel()
 
@@ -181,7 +182,7 @@
 	s.Store.Forget()
 
 	for _, e := range s.Entries {
-		within(t, 4*time.Second, "the change never came", func() bool {
+		within(t, 4*time.Second, "the change did not arrive", func() bool {
 			return ask(t, e, "x", "/seek/x", "", "").Status == http.StatusOK
 		})
 	}
@@ -195,8 +196,8 @@
 	}
 }
 
-// TestStoreDown: the store is down for all. What is loaded and the plain
-// service are served on.
+// TestStoreDown checks that loaded models and the plain service are still
+// served while the store is down for all entries.
 func TestStoreDown(t *testing.T) {
 	t.Parallel()
 
@@ -214,8 +215,9 @@
 	}
 }
 
-// TestRollingStop: the entries are stopped one after the other under load, the
-// holder among them. No request is lost, and cold models are served in between.
+// TestRollingStop stops entries one after the other under load, the holder
+// among them. No request may be lost, and models that are not loaded are served
+// in between.
 func TestRollingStop(t *testing.T) {
 	t.Parallel()
 
@@ -261,9 +263,9 @@
 	assert.DeepEqual(t, s.Broken(), []string(nil))
 }
 
-// TestLostAnswers: targets run requests and their answers are lost. A booking
-// runs once and its caller is told nothing that is not proved; a stream that
-// may be resumed is answered by another target.
+// TestLostAnswers lets targets run requests and lose the answers. A booking
+// must run once, and its client gets no success that is not proved; a stream
+// that may be resumed is answered by another target.
 func TestLostAnswers(t *testing.T) {
 	t.Parallel()
 
--- a/internal/fleet/node/pace_test.go
+++ b/internal/fleet/node/pace_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// looks returns how many times in each second of the time given entries look,
-// of which the last looked so long ago at its beginning.
+// countReads returns how often entries read the store in each second of span,
+// if the last read of each was up to ago before its beginning.
 func countReads(p polling, s pollState, ago, span time.Duration) []int {
 	r := rand.New(rand.NewPCG(1, 2))
 	out := make([]int, span/time.Second)
@@ -28,10 +28,10 @@
 	return out
 }
 
-// TestLooksDoNotGrow guards against calls to the store that grow with the number
-// of entries: in each second all together look no more often than twice what a
-// few would, whether they are told of changes or not, and also right after the
-// holder has died, when all of them looked long ago.
+// TestLooksDoNotGrow guards against calls to the store that grow with the
+// number of entries. In each second all entries together may read at most twice
+// as often as a few would, whether the holder announces changes or not, and
+// also right after the holder has died, when the last read of each is long ago.
 func TestLooksDoNotGrow(t *testing.T) {
 	const span = 30 * time.Second
 
@@ -47,19 +47,19 @@
 		"holder dies at 1,191": {pollState{entries: 1191}, 2000 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			// What a few entries alone do in a second.
+			// The reads of a few entries without a holder in a second.
 			most := 2 * int(fullRateEntries*time.Second/targetsInterval)
 
 			for second, n := range countReads(targetsPolling, tc.s, tc.ago, span) {
-				assert.Assert(t, n <= most, "%d looks in second %d, at most %d", n, second, most)
+				assert.Assert(t, n <= most, "%d reads in second %d, at most %d", n, second, most)
 			}
 		})
 	}
 }
 
-// TestSomebodyLooks guards against a fleet whose holder died and in which nobody
-// looks at the store: a change must be seen by one of the entries well within
-// the 2 s in which it must be in force.
+// TestSomebodyLooks guards against entries that lost their holder and of which
+// none reads the store: one of them must read a change well within the 2 s in
+// which it must be in force.
 func TestSomebodyLooks(t *testing.T) {
 	for _, entries := range []int{1, 3, 8, 9, 20, 195, 1191} {
 		s := pollState{entries: entries}
@@ -75,12 +75,12 @@
 			}
 		}
 
-		assert.Assert(t, longest <= 1200*time.Millisecond, "%d entries: nobody looked for %s", entries, longest)
+		assert.Assert(t, longest <= 1200*time.Millisecond, "%d entries: no read for %s", entries, longest)
 	}
 }
 
-// TestHolderLooksMost: the entry on which all rest looks as often as ever,
-// however many there are.
+// TestHolderLooksMost checks that the holder, on which all entries rely, reads
+// at the same rate however many entries there are.
 func TestHolderLooksMost(t *testing.T) {
 	for _, entries := range []int{3, 1191} {
 		s := pollState{entries: entries, holding: true}
--- a/internal/fleet/node/packed_test.go
+++ b/internal/fleet/node/packed_test.go
@@ -32,8 +32,8 @@
 	assert.Assert(t, err != nil)
 }
 
-// TestUnpackIsBounded guards against a peer's message that unpacks to more memory
-// than the machine has.
+// TestUnpackIsBounded guards against a peer's message that decompresses to more
+// memory than the machine has.
 func TestUnpackIsBounded(t *testing.T) {
 	data, err := frame.Pack(make([]byte, frame.MaxFrame+1))
 	assert.NilError(t, err)
@@ -45,8 +45,8 @@
 	assert.Assert(t, errors.As(err, &long))
 }
 
-// BenchmarkPack packs a configuration of 1,700 routes, and tells by how much it
-// shrinks.
+// BenchmarkPack compresses a configuration of 1,700 routes and reports both
+// sizes.
 func BenchmarkPack(b *testing.B) {
 	var text bytes.Buffer
 	for i := range 1700 {
--- a/internal/fleet/node/peers.go
+++ b/internal/fleet/node/peers.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	// greetEvery is the time between two rounds of greetings.
+	// gossipInterval is the time between two rounds of gossip.
 	gossipInterval = 1500 * time.Millisecond
-	// scanEvery is the time between two looks at the entries' rows of a few
-	// entries. They tell each other of new ones, so this is for the case that
-	// nobody did.
+	// scanInterval is the time between two reads of the entries' rows where
+	// there are few entries. Entries announce new ones to each other, so this
+	// covers only announcements that were lost.
 	scanInterval = 60 * time.Second
-	// entryPrefix is above the rows of all entries.
+	// entryPrefix is the key prefix of the rows of all entries.
 	entryPrefix = "entry/"
 )
 
-// peers are the other entries and the ways to them.
+// peers is the list of the other entries and the connections to them.
 type peers struct {
 	node *Node
 
-	// scanned says that the entries' rows were read.
+	// scanned reports that the entries' rows have been read.
 	scanned atomic.Bool
 
 	mu          sync.Mutex
@@ -41,12 +41,12 @@
 	connections map[instance.ID]*peer
 }
 
-// peer is the way to another entry's process.
+// peer is the connection to another entry's process.
 type peer struct {
 	roll.Member
 
 	client *news.Client
-	// kick says that there is something to tell it.
+	// updatePending signals that there is an update to send to it.
 	updatePending chan struct{}
 	cancel        context.CancelFunc
 }
@@ -59,7 +59,7 @@
 	Strength float64 `json:"strength"`
 }
 
-// run makes this entry known and greets the others.
+// run registers this entry and exchanges gossip with the others until ctx ends.
 func (p *peers) run(ctx context.Context) {
 	var (
 		scanned time.Time
@@ -95,8 +95,8 @@
 	}
 }
 
-// askSeeds finds the first peers without the store, which may turn this entry
-// away.
+// contactSeeds discovers the first peers without the store, which may not
+// answer this entry.
 func (p *peers) contactSeeds(ctx context.Context) {
 	for _, address := range p.node.cfg.Seeds {
 		if address == p.node.cfg.Peers {
@@ -108,13 +108,13 @@
 			defer c.Close()
 
 			if err := p.exchange(ctx, c); err != nil {
-				p.node.cfg.Log.Info().Err(err).Stringer("seed", address).Msg("seed not reached")
+				p.node.cfg.Log.Info().Err(err).Stringer("seed", address).Msg("cannot reach seed")
 			}
 		}()
 	}
 }
 
-// write puts this entry's row into the store, whatever stands there.
+// writeRow writes this entry's row to the store, replacing any that is there.
 func (p *peers) writeRow(ctx context.Context) error {
 	value, err := json.Marshal(entryRow{Address: p.node.cfg.Peers.String(), Process: p.node.process, BornMs: p.members.Self.Born.UnixMilli(), Strength: p.node.cfg.Strength})
 	if err != nil {
@@ -148,7 +148,7 @@
 		}
 
 		if err != nil {
-			p.node.cfg.Log.Warn().Err(err).Str("row", r.Key).Msg("entry's row cannot be read")
+			p.node.cfg.Log.Warn().Err(err).Str("row", r.Key).Msg("cannot decode entry row")
 
 			continue
 		}
@@ -161,7 +161,7 @@
 	return nil
 }
 
-// round greets those whose turn it is.
+// gossipRound exchanges gossip with the members that are due.
 func (p *peers) gossipRound(ctx context.Context) {
 	p.mu.Lock()
 	members := p.members.Beat(time.Now())
@@ -169,12 +169,12 @@
 	p.mu.Unlock()
 
 	for _, m := range members {
-		go func() { _ = p.gossip(ctx, m.ID) }() // Who does not answer is found out by its missing beats.
+		go func() { _ = p.gossip(ctx, m.ID) }() // A peer that does not answer is detected by its missing heartbeats.
 	}
 }
 
-// tidy ends the ways to processes that are no longer listed. The caller holds
-// the lock.
+// closeStale closes the connections to processes that are not listed. The
+// caller holds the lock.
 func (p *peers) closeStale() {
 	for id, q := range p.connections {
 		if m, ok := p.members.Get(id); !ok || m.Process != q.Process {
@@ -194,8 +194,8 @@
 	return p.exchange(ctx, q.client)
 }
 
-// exchange greets another entry, and asks it for those members of its list that
-// are unknown here.
+// exchange exchanges gossip with another entry, and requests those members of
+// its list that are unknown here.
 func (p *peers) exchange(ctx context.Context, c *news.Client) error {
 	g := p.greeting()
 
@@ -224,7 +224,7 @@
 	return p.members.TakePulses(heartbeats, time.Now())
 }
 
-// greeting returns this entry's own greeting.
+// greeting returns this entry's own gossip message.
 func (p *peers) greeting() news.Greeting {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -232,8 +232,8 @@
 	return news.Greeting{From: p.members.Self, Digest: p.members.Digest()}
 }
 
-// take takes in a greeting or the answer to one. It reports whether the
-// other's list is the same.
+// applyGreeting applies a gossip message or the answer to one. It reports
+// whether the other entry's list is the same.
 func (p *peers) applyGreeting(g news.Greeting) bool {
 	now := time.Now()
 
@@ -249,8 +249,8 @@
 	return p.members.Take(g.Digest, now)
 }
 
-// answer takes in a greeting and returns what the sender does not know or asks
-// for.
+// answer applies a gossip message and returns the members that the sender lacks
+// or requests.
 func (p *peers) answer(g news.Greeting) news.Greeting {
 	same := p.applyGreeting(g)
 
@@ -265,7 +265,7 @@
 	return out
 }
 
-// alive returns the peers that were heard lately and are not leaving.
+// alive returns the peers that have recent heartbeats and are not leaving.
 func (p *peers) alive() []roll.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -273,8 +273,8 @@
 	return p.members.Alive(time.Now())
 }
 
-// draw returns the way to one of the peers that are alive, drawn at random, or
-// nil if there is none.
+// random returns the connection to a random peer that is alive, or nil if there
+// is none.
 func (p *peers) random() *peer {
 	alive := p.alive()
 	if len(alive) == 0 {
@@ -284,7 +284,7 @@
 	return p.connection(alive[rand.IntN(len(alive))].ID) //nolint:gosec // No secret.
 }
 
-// all returns all peers that are listed, alive or not.
+// all returns all listed peers, alive or not.
 func (p *peers) all() []roll.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -292,7 +292,7 @@
 	return p.members.All()
 }
 
-// self returns this process as the others see it.
+// self returns this process as a member.
 func (p *peers) self() roll.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -300,8 +300,8 @@
 	return p.members.Self
 }
 
-// likely returns the peers that are alive or may be, because nothing was heard
-// of them yet.
+// aliveOrNew returns the peers that are alive, or may be because they were
+// listed without a heartbeat so far.
 func (p *peers) aliveOrNew() []roll.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -309,7 +309,7 @@
 	return p.members.Likely(time.Now())
 }
 
-// listed returns how many peers are known, alive or not.
+// listed returns the number of listed peers, alive or not.
 func (p *peers) listed() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -317,7 +317,7 @@
 	return p.members.Len()
 }
 
-// leave tells the peers that this process is about to end.
+// announceLeaving informs the peers that this process is about to end.
 func (p *peers) announceLeaving(ctx context.Context) {
 	p.mu.Lock()
 	p.members.Self.Leaving = true
@@ -326,10 +326,10 @@
 
 	var wg sync.WaitGroup
 
-	// These tell the others.
+	// These pass it on to the others.
 	for _, m := range all[:min(len(all), roll.Everybody)] {
 		wg.Go(func() {
-			// A peer that does not hear it finds out by itself.
+			// A peer that misses it detects the end by itself.
 			_ = p.gossip(ctx, m.ID)
 		})
 	}
@@ -337,7 +337,8 @@
 	wg.Wait()
 }
 
-// of returns the way to a peer, or nil if there is no such entry.
+// connection returns the connection to a peer, or nil if there is no such
+// entry.
 func (p *peers) connection(id instance.ID) *peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -345,8 +346,8 @@
 	return p.connect(id)
 }
 
-// way returns the way to a peer's present process, made when it is first
-// needed. The caller holds the lock.
+// connect returns the connection to a peer's current process, created on first
+// use. The caller holds the lock.
 func (p *peers) connect(id instance.ID) *peer {
 	m, ok := p.members.Get(id)
 	if !ok {
@@ -377,7 +378,7 @@
 	return q
 }
 
-// publish tells all peers that this holder has news.
+// notifyAll triggers an update to every peer.
 func (p *peers) notifyAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -387,13 +388,14 @@
 	}
 }
 
-// tellPace is the least time between two tellings of one peer for each peer
-// that there is, so that telling all takes the holder at most about a fifth of a
-// core (BenchmarkHear). There is none where everybody is greeted.
+// sendSpacing, times the number of peers, is the minimum time between two
+// updates to one peer, so that updating all takes the holder at most about a
+// fifth of a core (BenchmarkHear). There is no minimum while all entries gossip
+// with all others.
 const sendSpacing = 250 * time.Microsecond
 
-// tell sends the newest news to the peer, one after the other. Older ones that
-// a slow peer did not take are left out.
+// sendUpdates sends the latest snapshot to the peer whenever there is an
+// update. Snapshots that a slow peer misses are skipped.
 func (p *peers) sendUpdates(ctx context.Context, q *peer) {
 	var (
 		acknowledged holder.Edition
@@ -414,7 +416,7 @@
 
 		got, err := q.client.Hear(ctx, d)
 		if err != nil {
-			p.node.cfg.Log.Debug().Err(err).Str("peer", string(q.ID)).Msg("peer not told")
+			p.node.cfg.Log.Debug().Err(err).Str("peer", string(q.ID)).Msg("cannot send holder state to peer")
 		} else if acknowledged, known = got, true; got != d.Edition() && d.Base != (holder.Edition{}) {
 			signal(q.updatePending)
 		}
--- a/internal/fleet/node/quotas.go
+++ b/internal/fleet/node/quotas.go
@@ -16,44 +16,46 @@
 )
 
 const (
-	// drawAnswers bounds the question whether a request is within its limit: a
-	// lost packet is sent again within it.
+	// consumeTimeout bounds the call that decides whether a request is within
+	// its limit; it leaves time to retransmit a lost packet.
 	consumeTimeout = 250 * time.Millisecond
-	// mostOfLimit is the part of a limit from which on the refusals of its homes
-	// are final. Below it another home may have room.
+	// decisiveCoverage is the fraction of a limit whose owners must have
+	// refused a request for the refusal to be final. Below it another owner may
+	// have credit left.
 	decisiveCoverage = 0.75
 )
 
-// quotas keeps this entry's part in the teams' limits: it lends its shares,
-// decides as a home, and asks homes for its own callers. It implements
-// relay.Limiter.
+// quotas is this entry's part in enforcing the teams' limits: it delegates its
+// shares, decides as an owner, and calls the owners for its own clients. It
+// implements relay.Limiter.
 type quotas struct {
 	node *Node
-	// soon asks for a round of loans at once.
+	// roundSoon requests an immediate round of delegations.
 	roundSoon chan struct{}
 
 	mu        sync.Mutex
 	owner     quota.Home
 	delegator quota.Lender
-	// homes are the present homes of the limits.
+	// owners are the current owners of the limits.
 	owners   quota.Homes
 	failures map[instance.ID]ownerFailures
 	// answered are the entries that have answered since this process started.
 	answered map[instance.ID]bool
-	// returns are what was counted for requests that did not run, by team.
+	// refunds is the cost to refund for requests that did not run, by team.
 	refunds map[string]float64
 }
 
-// silence is how an entry did not answer.
+// ownerFailures records an owner's failures to answer.
 type ownerFailures struct {
-	// calls had no answer since it was last passed over, times how often it was.
+	// consecutive is the number of failed calls since the last success or
+	// exclusion, and exclusions how often the owner was excluded.
 	consecutive, exclusions int
 	excludedUntil           time.Time
 }
 
 func (q *quotas) uptime() quota.Stamp { return quota.Stamp(clock.Now().Sub(q.node.started)) }
 
-// known returns how many entries share the limits.
+// entryCount returns how many entries share the limits.
 func (q *quotas) entryCount() int {
 	if !q.node.peers.scanned.Load() {
 		return assumedEntries
@@ -67,15 +69,16 @@
 }
 
 const (
-	// unknownPatience is for how long a request waits for homes that decide on most
-	// of its team's limit: after a restart of all entries shares are lent within a
-	// term.
+	// undecidedTimeout is how long a request waits for owners that can decide
+	// on most of its team's limit: after a restart of all entries, shares are
+	// delegated within one interval.
 	undecidedTimeout = 800 * time.Millisecond
 	undecidedPause   = 40 * time.Millisecond
 )
 
-// Charge implements relay.Limiter. It refuses at once what is beyond the limit,
-// and waits a moment only where its homes do not know yet what is left.
+// Charge implements relay.Limiter. It refuses at once what exceeds the limit,
+// and waits briefly only where the owners do not have the state of the limit
+// yet.
 func (q *quotas) Charge(ctx context.Context, t *team.Team, cost float64) relay.ChargeResult {
 	until := time.Now().Add(undecidedTimeout)
 
@@ -87,8 +90,8 @@
 	}
 }
 
-// chargeNow puts the request to the homes of its team's limit. It reports whether
-// their answer is final.
+// tryCharge submits the request to the owners of its team's limit. It reports
+// whether their decision is final.
 func (q *quotas) tryCharge(ctx context.Context, t *team.Team, cost float64) (out relay.ChargeResult, final bool) {
 	out.Unknown = true
 	filling := false
@@ -117,8 +120,8 @@
 	return out, out.Coverage >= decisiveCoverage && !filling
 }
 
-// candidates returns whom to ask about a group: first who have this entry's own
-// share, then who should.
+// ownersToAsk returns the owners to ask about a group: first those that hold
+// this entry's own share, then those that should.
 func (q *quotas) ownersToAsk(group int) []quota.Process {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -146,7 +149,7 @@
 	return out
 }
 
-// draw asks a home whether a request may run.
+// consume asks an owner whether a request may run.
 func (q *quotas) consume(ctx context.Context, owner quota.Process, d news.Drawing) (news.Drawn, error) {
 	if owner == q.self() {
 		return q.decide(d), nil
@@ -194,7 +197,7 @@
 	q.refunds[t.Name] += cost
 }
 
-// decide decides as a home.
+// decide decides on a request as an owner.
 func (q *quotas) decide(d news.Drawing) news.Drawn {
 	c, entries := q.node.config(), q.entryCount()
 	out := news.Drawn{Process: q.node.process, Released: q.node.stopping.Load()}
@@ -220,7 +223,7 @@
 	return out
 }
 
-// takeLoan takes in a loan as a home.
+// acceptDelegation accepts a delegation as an owner.
 func (q *quotas) acceptDelegation(l news.Lending) news.Receipt {
 	c, entries := q.node.config(), q.entryCount()
 
@@ -249,7 +252,7 @@
 	return out
 }
 
-// release gives back all loans, before this process ends.
+// release releases all shares delegated to this entry before its process ends.
 func (q *quotas) release() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/fleet/node/routing.go
+++ b/internal/fleet/node/routing.go
@@ -52,7 +52,7 @@
 
 		// Changes of hundreds of engines arrive faster than they can be applied
 		// one by one.
-		_ = clock.Sleep(ctx, rebuildPauseFactor*time.Since(began)) // The loop looks at ctx.
+		_ = clock.Sleep(ctx, rebuildPauseFactor*time.Since(began)) // The loop checks ctx.
 
 		next.Reset(again)
 	}
--- a/internal/fleet/node/routing_test.go
+++ b/internal/fleet/node/routing_test.go
@@ -20,7 +20,8 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/router"
 )
 
-// knowing returns an entry that knows engines and a holder's news of them.
+// nodeWithEngines returns an entry that has engines and a holder's snapshot of
+// them.
 func nodeWithEngines(engines int) *Node {
 	n := New(Config{Self: "self", Entries: 1, Log: zerolog.New(io.Discard)})
 	n.routes.Store(route.NewTable(&route.Config{Version: 1, Services: map[string]route.Service{"s": {Name: "s", Engine: &route.Engine{Slots: 12}}}}))
@@ -37,7 +38,8 @@
 	return n
 }
 
-// station holds four models of a few hundred, one of them with adapters.
+// engineState returns an engine with four of a few hundred models, some with
+// adapters.
 func engineState(id instance.ID, i int) holder.Station {
 	s := holder.Station{Target: id, Born: 1, Running: i % 7}
 
@@ -53,9 +55,9 @@
 	return s
 }
 
-// BenchmarkRebuild is one load on one of 152 engines, as it reaches each of 91
-// entries up to 45 times a second. Whole snapshots took 3.6 ms, 3.0 MB and
-// 24,600 allocations each; changes take 0.7 ms, 0.4 MB and 1,700.
+// BenchmarkRebuild rebuilds after one load on one of 152 engines, which happens
+// on each of 91 entries up to 45 times a second. Whole snapshots took 3.6 ms,
+// 3.0 MB and 24,600 allocations each; deltas take 0.7 ms, 0.4 MB and 1,700.
 func BenchmarkRebuild(b *testing.B) {
 	n := nodeWithEngines(152)
 	n.rebuild(time.Now())
@@ -66,9 +68,9 @@
 	}
 }
 
-// TestRebuildsAgree: routing is built from what changed since the last time.
-// Whatever came and went meanwhile, it must be what a new entry would build
-// from the same knowledge.
+// TestRebuildsAgree checks routing that is built from the changes since the
+// last build. After any sequence of changes it must equal what a new entry
+// builds from the same state.
 func TestRebuildsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const engines = 5
@@ -108,7 +110,7 @@
 	})
 }
 
-// replicas returns which targets a table has for each model.
+// replicas returns the targets that a table has for each model.
 func replicas(t *router.Table) map[string][]string {
 	out := make(map[string][]string)
 
--- a/internal/fleet/node/teams_test.go
+++ b/internal/fleet/node/teams_test.go
@@ -18,14 +18,14 @@
 	"github.com/fulmarcross/fulmarcross/internal/standin/site"
 )
 
-// startTeams returns a ready site of three entries whose routes ask for keys.
+// startTeams returns a ready site of three entries whose routes require keys.
 func startTeams(t *testing.T, log io.Writer, teams []team.Team, keys map[string][]string) *site.Site {
 	t.Helper()
 
 	return startWith(t, site.Options{Log: log, Teams: teams, Keys: keys})
 }
 
-// look is one request of a caller with a key, if it has one.
+// look sends one request, with a key unless it is empty.
 func look(t *testing.T, e *site.Entry, id, key string) site.Reply {
 	t.Helper()
 
@@ -40,7 +40,7 @@
 	return r
 }
 
-// lockedBuffer gathers the lines of several entries.
+// lockedBuffer collects the log lines of several entries.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -60,8 +60,8 @@
 	return l.b.String()
 }
 
-// TestKeys holds who is let in at every entry, what targets get, and that no
-// entry writes a key.
+// TestKeys checks which keys every entry accepts, what targets receive, and
+// that no entry logs a key.
 func TestKeys(t *testing.T) {
 	t.Parallel()
 
@@ -86,8 +86,9 @@
 	assert.Assert(t, !strings.Contains(log.String(), "secret-"))
 }
 
-// TestNewKey: a key works at every entry from the moment at which the operators
-// know that it is in force, also at those that have not heard of it.
+// TestNewKey checks that a key works at every entry as soon as the operators'
+// change is acknowledged, also at entries that have not received the change
+// yet.
 func TestNewKey(t *testing.T) {
 	t.Parallel()
 
@@ -100,15 +101,15 @@
 	}
 }
 
-// TestWithdrawnKey: a key is withdrawn while the store turns one entry away, or
-// is silent for it. No entry lets it in for longer than the change may take.
+// TestWithdrawnKey withdraws a key while the store refuses one entry or does
+// not answer it. No entry may accept the key for longer than a change may take.
 func TestWithdrawnKey(t *testing.T) {
 	cases := map[string]struct {
 		faults rows.Faults
 		bound  time.Duration
 	}{
 		"refused": {rows.Faults{Down: true}, 3 * time.Second},
-		// Three seconds, and as long again while the store is in trouble.
+		// Three seconds, and as long again while the store fails.
 		"silent": {rows.Faults{Silent: true}, 6 * time.Second},
 	}
 
@@ -132,8 +133,8 @@
 	}
 }
 
-// TestLimit: callers of two teams ask at all entries. The one with a limit gets
-// it, and no more; the other one is not held up.
+// TestLimit sends requests of two teams to all entries. The team with a limit
+// gets all of it and no more; the other team is not delayed.
 func TestLimit(t *testing.T) {
 	t.Parallel()
 
@@ -146,8 +147,9 @@
 	s := startTeams(t, io.Discard, []team.Team{{Name: "a", Limit: team.Limit{PerSecond: perSecond, Burst: burst}}, {Name: "b"}},
 		map[string][]string{"a": {"ka"}, "b": {"kb"}})
 
-	// By now all have lent their shares, and the burst is full.
-	within(t, 10*time.Second, "no limit was lent", func() bool { return look(t, s.Entries[0], "a-first", "ka").Status == http.StatusOK })
+	// After this, all entries have delegated their shares and the burst is
+	// full.
+	within(t, 10*time.Second, "no limit was delegated", func() bool { return look(t, s.Entries[0], "a-first", "ka").Status == http.StatusOK })
 	time.Sleep(2 * time.Second)
 
 	var (
--- a/internal/fleet/node/view.go
+++ b/internal/fleet/node/view.go
@@ -118,7 +118,7 @@
 	if c := n.config(); c != nil && c.Version > have.Config {
 		data, err := n.packedConfig.of(c.Version, c.Text)
 		if err != nil {
-			n.cfg.Log.Warn().Err(err).Uint64("version", c.Version).Msg("configuration cannot be packed")
+			n.cfg.Log.Warn().Err(err).Uint64("version", c.Version).Msg("cannot compress configuration")
 		}
 
 		out.Config = data
--- a/internal/fleet/node/view_test.go
+++ b/internal/fleet/node/view_test.go
@@ -16,7 +16,7 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/roll"
 )
 
-// listing returns an entry that follows no store by itself.
+// nodeWithoutStore returns an entry that does not read the store by itself.
 func nodeWithoutStore(id instance.ID) *Node {
 	return New(Config{Self: id, Entries: 1, Log: zerolog.Nop()})
 }
@@ -30,10 +30,10 @@
 	return out
 }
 
-// TestViewsAgree: entries learn from a peer how the list of targets changed
-// since what they know, and now and then read the store themselves. However
-// often they ask, they must have what the peer has: a target that left and is
-// still known gets requests for as long as that lasts.
+// TestViewsAgree checks entries that fetch changes of the list of targets from
+// a peer and now and then read the store themselves. After each fetch they must
+// have what the peer has: a target that left and is still listed would get
+// requests until that is corrected.
 func TestViewsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := nodeWithoutStore("a"), nodeWithoutStore("b")
@@ -64,7 +64,7 @@
 
 			switch rapid.IntRange(0, 4).Draw(t, "look") {
 			case 0:
-				// The store tells all changes since what was known.
+				// The store returns all changes since the last read.
 				second.applyTargets(log[second.listVersion:], second.listVersion == 0, version)
 			case 1, 2:
 				assert.Assert(t, second.applyView(first.View(second.versions()), q))
@@ -77,7 +77,7 @@
 	})
 }
 
-// latest returns what a whole reading of the list gives after these changes.
+// currentRows returns what a full read of the list gives after these changes.
 func currentRows(log []inventory.Change) []inventory.Change {
 	rows := make(map[instance.ID]inventory.Change)
 	for _, c := range log {
@@ -89,8 +89,9 @@
 	return slices.Collect(maps.Values(rows))
 }
 
-// An entry that was behind by one change got the whole list from each peer that
-// had not seen the changes before.
+// TestViewOfChanges guards against a fault where an entry that lacked one
+// change got the whole list from each peer that did not have the earlier
+// changes recorded.
 func TestViewOfChanges(t *testing.T) {
 	const targets = 100
 
@@ -115,15 +116,15 @@
 	assert.Assert(t, second.applyView(v, &peer{}))
 	assert.DeepEqual(t, second.leaving(), first.leaving())
 
-	// The last target goes.
+	// The last target is removed.
 	first.applyTargets(nil, true, targets+3)
 	assert.Assert(t, third.applyView(first.View(third.versions()), &peer{}))
 	assert.Equal(t, len(third.knownTargets()), 0)
 }
 
-// TestViewOfAKeptTarget: the store was away, and an entry keeps for a moment a
-// target whose row has lapsed. A peer that asks meanwhile must not take it for
-// one that is listed, or it keeps it for as long as the list does not change.
+// TestViewOfAKeptTarget lets an entry, after an outage of the store, retain for
+// a while a target whose row has expired. A peer that queries it meanwhile must
+// not treat that target as listed, or it keeps it until the list changes.
 func TestViewOfAKeptTarget(t *testing.T) {
 	first, second := nodeWithoutStore("a"), nodeWithoutStore("b")
 	both := []inventory.Change{{ID: "t1", Target: inventory.Target{ID: "t1"}}, {ID: "t2", Target: inventory.Target{ID: "t2"}}}
@@ -133,7 +134,7 @@
 
 	first.registry.Failed(time.Now().Add(-2 * time.Second))
 	first.applyTargets([]inventory.Change{{ID: "t2", Removed: true}}, false, 2)
-	assert.Equal(t, len(first.knownTargets()), 2, "the target is not kept")
+	assert.Equal(t, len(first.knownTargets()), 2, "the target is not retained")
 
 	v := first.View(second.versions())
 	assert.Equal(t, v.Base, uint64(1))
@@ -141,6 +142,6 @@
 	assert.Assert(t, second.applyView(v, &peer{}))
 	assert.DeepEqual(t, slices.Collect(maps.Keys(second.knownTargets())), []instance.ID{"t1"})
 
-	// One that knows nothing gets the whole, without it.
+	// An entry without a list gets the whole list, without that target.
 	assert.Equal(t, len(first.View(nodeWithoutStore("c").versions()).Targets), 1)
 }
--- a/internal/fleet/node/watch.go
+++ b/internal/fleet/node/watch.go
@@ -80,7 +80,7 @@
 			n.activateConfig(c)
 		} else {
 			// Nothing changed, or no configuration was ever written.
-			_ = clock.Sleep(ctx, jitter(minBackoff)/10) //nolint:mnd // Only so that an empty store is not asked in a loop.
+			_ = clock.Sleep(ctx, jitter(minBackoff)/10) //nolint:mnd // Avoids a busy loop on an empty store.
 		}
 
 		n.waitForNextRead(ctx, configPolling, n.refreshConfig, n.fetchConfig)
@@ -91,7 +91,7 @@
 // waits for the next regular read, as the other entries detect the store's
 // return.
 func (n *Node) backOff(ctx context.Context, status *storeStatus, err error, p polling, refresh <-chan struct{}, fetch func(context.Context) bool) {
-	_ = clock.Sleep(ctx, status.backoff()) // The loop's owner looks at ctx.
+	_ = clock.Sleep(ctx, status.backoff()) // The caller's loop checks ctx.
 
 	var gone *inventory.HistoryGoneError
 	if !errors.As(err, &gone) && n.pollState().entries > fullRateEntries {
@@ -135,7 +135,7 @@
 		return true
 	}
 
-	_ = clock.Sleep(ctx, jitter(targetsReadDelay)) // The loop's owner looks at ctx.
+	_ = clock.Sleep(ctx, jitter(targetsReadDelay)) // The caller's loop checks ctx.
 
 	return false
 }
@@ -286,7 +286,7 @@
 func (n *Node) logChange(c inventory.Change) {
 	switch {
 	case c.Err != nil:
-		n.cfg.Log.Warn().Err(c.Err).Str("target", string(c.ID)).Msg("row of the list names no target")
+		n.cfg.Log.Warn().Err(c.Err).Str("target", string(c.ID)).Msg("invalid row in the list of targets")
 	case c.Removed:
 		n.cfg.Log.Info().Str("target", string(c.ID)).Msg("target gone from the list")
 	case c.Target.Leaving:
@@ -328,7 +328,7 @@
 
 		l.lost = false
 	case errors.As(err, &gone):
-		n.cfg.Log.Warn().Err(err).Str("what", what).Msg("history gone, reading the whole")
+		n.cfg.Log.Warn().Err(err).Str("what", what).Msg("store history lost, reading everything")
 	case err != nil && !l.lost && !errors.Is(err, context.Canceled):
 		n.cfg.Log.Warn().Err(err).Str("what", what).Msg("store lost")
 
