--- a/internal/fleet/node/calls.go
+++ b/internal/fleet/node/calls.go
@@ -53,14 +53,14 @@
 
 // countRead counts a read of the store by an entry whose data is as of a
 // version; zero means that it has none.
-func (n *Node) countRead(what call, s pollState, after uint64) {
+func (n *Node) countRead(purpose call, s pollState, after uint64) {
 	if after == 0 && !s.holding {
-		n.calls.count(what, causeStart)
+		n.calls.count(purpose, causeStart)
 
 		return
 	}
 
-	n.calls.count(what, s.cause())
+	n.calls.count(purpose, s.cause())
 }
 
 // calls counts the calls to the platform's store, which are charged for. Set
@@ -71,9 +71,9 @@
 	metrics tally.Scope
 }
 
-func (c *calls) count(what call, why cause) {
-	c.metrics.Tagged(map[string]string{"call": string(what), "cause": string(why)}).Counter("store_calls").Inc(1)
-	c.add(string(what)+" "+string(why), 1)
+func (c *calls) count(purpose call, reason cause) {
+	c.metrics.Tagged(map[string]string{"call": string(purpose), "cause": string(reason)}).Counter("store_calls").Inc(1)
+	c.add(string(purpose)+" "+string(reason), 1)
 }
 
 // callsLogInterval is the time between two log lines with the counts so far.
--- a/internal/fleet/node/handler.go
+++ b/internal/fleet/node/handler.go
@@ -13,7 +13,7 @@
 )
 
 // Greet implements news.Handler.
-func (n *Node) Greet(g news.Greeting) news.Greeting { return n.peers.answer(g) }
+func (n *Node) Greet(g news.Greeting) news.Greeting { return n.peers.answerGossip(g) }
 
 // Hear implements news.Handler.
 func (n *Node) Hear(d holder.Delta) holder.Edition {
@@ -34,7 +34,7 @@
 func (n *Node) applyHolderState(latest holder.News) {
 	n.mu.Lock()
 	if n.holderState.Token != latest.Token {
-		n.cfg.Log.Info().Str("holder", string(latest.Holder)).Uint64("token", latest.Token).Msg("lease holder changed")
+		n.cfg.Log.Info().Str("holder", string(latest.Holder)).Uint64("token", latest.Token).Msg("new lease term")
 	}
 
 	n.holderReceived = time.Now()
@@ -78,10 +78,10 @@
 	n.peers.notifyAll()
 }
 
-// deltaSince returns the changes since the version that a peer has, or since
-// the previous version if it is not known which it has. It reports false unless
-// the latest snapshot is this process's own.
-func (n *Node) deltaSince(has holder.Edition, known bool) (holder.Delta, bool) {
+// deltaSince returns the changes since a peer's version, or since the previous
+// version if the peer's is unknown. It reports false unless the latest snapshot
+// is this process's own.
+func (n *Node) deltaSince(version holder.Edition, versionKnown bool) (holder.Delta, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
@@ -89,11 +89,11 @@
 		return holder.Delta{}, false
 	}
 
-	if !known {
-		has = n.holderHistory.Former()
+	if !versionKnown {
+		version = n.holderHistory.Former()
 	}
 
-	return n.holderHistory.Since(has), true
+	return n.holderHistory.Since(version), true
 }
 
 // Report implements news.Handler.
@@ -104,7 +104,8 @@
 // Block implements news.Handler.
 func (n *Node) Block(fp request.Fingerprint) { n.dispatcher.Block(fp) }
 
-// broadcastNotice sends the fingerprint of a poison request to all peers.
+// broadcastNotice sends the fingerprint of a poison request to all peers that
+// are alive.
 func (n *Node) broadcastNotice(notice dispatch.Notice) {
 	if notice.Poisoned == 0 {
 		return
--- a/internal/fleet/node/homes.go
+++ b/internal/fleet/node/homes.go
@@ -51,16 +51,16 @@
 		return out
 	}
 
-	known := make(map[instance.ID]bool, len(out))
+	seen := make(map[instance.ID]bool, len(out))
 	for _, m := range out {
-		known[m.ID] = true
+		seen[m.ID] = true
 	}
 
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
 	for _, m := range q.node.peers.aliveOrNew() {
-		if q.answered[m.ID] && !known[m.ID] {
+		if q.answered[m.ID] && !seen[m.ID] {
 			out = append(out, m)
 		}
 	}
--- a/internal/fleet/node/learn.go
+++ b/internal/fleet/node/learn.go
@@ -24,9 +24,9 @@
 // pollsPeers reports whether this entry polls its peers for changes, and how
 // often.
 func (n *Node) pollsPeers() (bool, time.Duration) {
-	s := n.pollState()
+	state := n.pollState()
 
-	if s.entries > fullRateEntries && !s.holding && !s.led {
+	if state.entries > fullRateEntries && !state.holding && !state.led {
 		return true, peerPollIntervalMany
 	}
 
@@ -91,10 +91,10 @@
 // peers or from the holder. It reports false when the store must be read
 // instead.
 //
-// This limits the load of many entries: if each read the whole configuration
-// from the store at each change, or all fetched it from the holder at once, the
-// links would not carry it. A few ask the holder, the others the peers that
-// already have it.
+// This limits the load of many entries: otherwise each would read the whole
+// configuration from the store at each change, and the holder's link cannot
+// carry it to all of them at once. A few ask the holder, the others the peers
+// that already have it.
 func (n *Node) fetchConfig(ctx context.Context) bool {
 	tries := configFetchTries
 	if rank := rand.IntN(n.pollState().entries); rank < fullRateEntries { //nolint:gosec // No secret.
--- a/internal/fleet/node/lending.go
+++ b/internal/fleet/node/lending.go
@@ -24,8 +24,8 @@
 	excludeAfter        = 2
 	excludeFor          = 3 * time.Second
 	maxExcludeDoublings = 3
-	// roundSpacing is the delay of a round that is requested at once, so that
-	// requests are combined.
+	// roundSpacing delays a round that is requested immediately, which keeps
+	// such rounds apart.
 	roundSpacing = 20 * time.Millisecond
 )
 
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -292,9 +292,9 @@
 	maxHeader = 32 << 10
 )
 
-func (n *Node) logServeError(what string, err error) {
+func (n *Node) logServeError(listener string, err error) {
 	if !n.stopping.Load() && !errors.Is(err, http.ErrServerClosed) {
-		n.cfg.Log.Error().Err(err).Str("listener", what).Msg("listener failed")
+		n.cfg.Log.Error().Err(err).Str("listener", listener).Msg("listener failed")
 	}
 }
 
@@ -385,8 +385,8 @@
 
 // entryCount returns how many entries share the targets.
 func (n *Node) entryCount() int {
-	if known := len(n.peers.alive()) + 1; known > 1 {
-		return known
+	if listed := len(n.peers.alive()) + 1; listed > 1 {
+		return listed
 	}
 
 	return n.cfg.Entries
@@ -399,11 +399,11 @@
 const assumedEntries = 100
 
 // retrySharers returns how many entries may share the retry budget. It counts
-// all listed entries, also those not yet or no longer heard from, so that the
-// shares together never exceed the budget.
+// all listed entries, also those that have sent no heartbeat yet or have
+// stopped sending them, so that the shares together never exceed the budget.
 func (n *Node) retrySharers() int {
-	if known := n.peers.listed(); known > 0 {
-		return max(known+1, n.cfg.Entries)
+	if listed := n.peers.listed(); listed > 0 {
+		return max(listed+1, n.cfg.Entries)
 	}
 
 	return assumedEntries
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -63,10 +63,10 @@
 	}
 }
 
-// TestCalm checks that every entry answers every kind of request completely,
+// TestAllRequestKinds checks that every entry answers every kind of request completely,
 // also for models and adapters that are loaded nowhere, and that each request
 // runs once.
-func TestCalm(t *testing.T) {
+func TestAllRequestKinds(t *testing.T) {
 	t.Parallel()
 
 	s := start(t)
@@ -107,10 +107,10 @@
 	assert.DeepEqual(t, s.Broken(), []string(nil))
 }
 
-// TestStoreTurnsOneAway lets the store serve two entries and refuse the third,
+// TestStoreFailsOneEntry lets the store serve two entries and refuse the third,
 // or not answer it. A configuration change is acknowledged and a target leaves;
 // the third entry must receive both from its peers.
-func TestStoreTurnsOneAway(t *testing.T) {
+func TestStoreFailsOneEntry(t *testing.T) {
 	for name, faults := range map[string]rows.Faults{"refused": {Down: true}, "silent": {Silent: true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -141,11 +141,11 @@
 	}
 }
 
-// TestHolderDoesNotHear lets the store stop answering one entry, which may be
-// the holder that announces changes to the others, while it still serves them.
-// A target leaves. The others must read the store themselves in time, or they
-// send requests to the target for longer than 2 s.
-func TestHolderDoesNotHear(t *testing.T) {
+// TestHolderLosesStore lets the store stop answering one entry while it still
+// serves the others. That entry may be the holder, which announces changes to
+// the others. A target leaves. The others must read the store themselves in
+// time, or they send requests to the target for longer than 2 s.
+func TestHolderLosesStore(t *testing.T) {
 	for i := range 3 {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			t.Parallel()
@@ -171,9 +171,9 @@
 	}
 }
 
-// TestHistoryForgotten lets the store lose its history while changes are made.
+// TestStoreHistoryLost lets the store lose its history while changes are made.
 // Entries must read everything again and miss no change.
-func TestHistoryForgotten(t *testing.T) {
+func TestStoreHistoryLost(t *testing.T) {
 	t.Parallel()
 
 	s := start(t)
--- a/internal/fleet/node/pace_test.go
+++ b/internal/fleet/node/pace_test.go
@@ -28,11 +28,11 @@
 	return out
 }
 
-// TestLooksDoNotGrow guards against calls to the store that grow with the
+// TestReadRateIsBounded guards against calls to the store that grow with the
 // number of entries. In each second all entries together may read at most twice
 // as often as a few would, whether the holder announces changes or not, and
 // also right after the holder has died, when the last read of each is long ago.
-func TestLooksDoNotGrow(t *testing.T) {
+func TestReadRateIsBounded(t *testing.T) {
 	const span = 30 * time.Second
 
 	for name, tc := range map[string]struct {
@@ -57,10 +57,10 @@
 	}
 }
 
-// TestSomebodyLooks guards against entries that lost their holder and of which
-// none reads the store: one of them must read a change well within the 2 s in
-// which it must be in force.
-func TestSomebodyLooks(t *testing.T) {
+// TestReadsWithoutHolder guards against entries that lost their holder and of
+// which none reads the store: one of them must read a change well within the 2
+// s in which it must be in force.
+func TestReadsWithoutHolder(t *testing.T) {
 	for _, entries := range []int{1, 3, 8, 9, 20, 195, 1191} {
 		s := pollState{entries: entries}
 		r := rand.New(rand.NewPCG(3, 4))
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestHolderLooksMost checks that the holder, on which all entries rely, reads
+// TestHolderReadRate checks that the holder, on which all entries rely, reads
 // at the same rate however many entries there are.
-func TestHolderLooksMost(t *testing.T) {
+func TestHolderReadRate(t *testing.T) {
 	for _, entries := range []int{3, 1191} {
 		s := pollState{entries: entries, holding: true}
 		assert.Assert(t, targetsPolling.due(targetsIntervalHolding, s, 1))
--- a/internal/fleet/node/peers.go
+++ b/internal/fleet/node/peers.go
@@ -197,7 +197,7 @@
 // exchange exchanges gossip with another entry, and requests those members of
 // its list that are unknown here.
 func (p *peers) exchange(ctx context.Context, c *news.Client) error {
-	g := p.greeting()
+	g := p.gossipMessage()
 
 	for {
 		got, err := c.Greet(ctx, g)
@@ -205,7 +205,7 @@
 			return err
 		}
 
-		p.applyGreeting(got)
+		p.applyGossip(got)
 
 		if g.Want != nil || got.Pulses == nil {
 			return nil
@@ -224,17 +224,17 @@
 	return p.members.TakePulses(heartbeats, time.Now())
 }
 
-// greeting returns this entry's own gossip message.
-func (p *peers) greeting() news.Greeting {
+// gossipMessage returns this entry's own gossip message.
+func (p *peers) gossipMessage() news.Greeting {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
 	return news.Greeting{From: p.members.Self, Digest: p.members.Digest()}
 }
 
-// applyGreeting applies a gossip message or the answer to one. It reports
-// whether the other entry's list is the same.
-func (p *peers) applyGreeting(g news.Greeting) bool {
+// applyGossip applies a gossip message or the answer to one. It reports whether
+// the other entry's list is the same.
+func (p *peers) applyGossip(g news.Greeting) bool {
 	now := time.Now()
 
 	p.mu.Lock()
@@ -249,10 +249,10 @@
 	return p.members.Take(g.Digest, now)
 }
 
-// answer applies a gossip message and returns the members that the sender lacks
-// or requests.
-func (p *peers) answer(g news.Greeting) news.Greeting {
-	same := p.applyGreeting(g)
+// answerGossip applies a gossip message and returns the members that the sender
+// lacks or requests.
+func (p *peers) answerGossip(g news.Greeting) news.Greeting {
+	same := p.applyGossip(g)
 
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -398,8 +398,8 @@
 // update. Snapshots that a slow peer misses are skipped.
 func (p *peers) sendUpdates(ctx context.Context, q *peer) {
 	var (
-		acknowledged holder.Edition
-		known        bool
+		acknowledged    holder.Edition
+		anyAcknowledged bool
 	)
 
 	for {
@@ -409,15 +409,15 @@
 		case <-q.updatePending:
 		}
 
-		d, holding := p.node.deltaSince(acknowledged, known)
+		delta, holding := p.node.deltaSince(acknowledged, anyAcknowledged)
 		if !holding {
 			continue
 		}
 
-		got, err := q.client.Hear(ctx, d)
+		got, err := q.client.Hear(ctx, delta)
 		if err != nil {
 			p.node.cfg.Log.Debug().Err(err).Str("peer", string(q.ID)).Msg("cannot send holder state to peer")
-		} else if acknowledged, known = got, true; got != d.Edition() && d.Base != (holder.Edition{}) {
+		} else if acknowledged, anyAcknowledged = got, true; got != delta.Edition() && delta.Base != (holder.Edition{}) {
 			signal(q.updatePending)
 		}
 
--- a/internal/fleet/node/quotas.go
+++ b/internal/fleet/node/quotas.go
@@ -70,8 +70,8 @@
 
 const (
 	// undecidedTimeout is how long a request waits for owners that can decide
-	// on most of its team's limit: after a restart of all entries, shares are
-	// delegated within one interval.
+	// on most of its team's limit: after a restart of all entries, all shares
+	// are delegated within one quota.Term.
 	undecidedTimeout = 800 * time.Millisecond
 	undecidedPause   = 40 * time.Millisecond
 )
--- a/internal/fleet/node/watch.go
+++ b/internal/fleet/node/watch.go
@@ -38,8 +38,8 @@
 	// still notice a change within 2 s.
 	maxHolderStoreAge = 1300 * time.Millisecond
 	// minBackoff is the time between two calls to a failing store, doubled each
-	// time up to maxBackoff: entries may take seconds to resume after its
-	// return, and frequent calls of many entries cost more than they gain.
+	// time up to maxBackoff: entries may take seconds to notice its return, and
+	// frequent calls of many entries cost more than they find out.
 	minBackoff = 250 * time.Millisecond
 	maxBackoff = time.Second
 )
@@ -310,28 +310,28 @@
 }
 
 // backoff returns how long to wait after a failure.
-func (l *storeStatus) backoff() time.Duration {
-	return jitter(min(minBackoff<<min(max(0, l.failed-1), 2), maxBackoff)) //nolint:mnd // Doubled twice.
+func (s *storeStatus) backoff() time.Duration {
+	return jitter(min(minBackoff<<min(max(0, s.failed-1), 2), maxBackoff)) //nolint:mnd // Doubled twice.
 }
 
-func (l *storeStatus) record(n *Node, what string, err error) {
+func (s *storeStatus) record(n *Node, subject string, err error) {
 	var gone *inventory.HistoryGoneError
 
-	l.failed++
+	s.failed++
 	if err == nil || errors.As(err, &gone) {
-		l.failed = 0
+		s.failed = 0
 	}
 
 	switch {
-	case err == nil && l.lost:
-		n.cfg.Log.Info().Str("what", what).Dur("away", time.Since(l.since)).Msg("store regained")
+	case err == nil && s.lost:
+		n.cfg.Log.Info().Str("what", subject).Dur("away", time.Since(s.since)).Msg("store regained")
 
-		l.lost = false
+		s.lost = false
 	case errors.As(err, &gone):
-		n.cfg.Log.Warn().Err(err).Str("what", what).Msg("store history lost, reading everything")
-	case err != nil && !l.lost && !errors.Is(err, context.Canceled):
-		n.cfg.Log.Warn().Err(err).Str("what", what).Msg("store lost")
+		n.cfg.Log.Warn().Err(err).Str("what", subject).Msg("store history lost, reading everything")
+	case err != nil && !s.lost && !errors.Is(err, context.Canceled):
+		n.cfg.Log.Warn().Err(err).Str("what", subject).Msg("store lost")
 
-		l.lost, l.since = true, time.Now()
+		s.lost, s.since = true, time.Now()
 	}
 }
