--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -164,7 +164,7 @@
 	}
 	n.budgets.Limit = cfg.Allowance
 	n.budgets.Started = time.Now()
-	n.budgets.SetEntries(assumedEntries)
+	n.budgets.SetEntries(worstCaseEntries)
 	n.workCtx, n.cancelWork = context.WithCancel(context.Background())
 	n.peers.node = n
 	n.quotas.node, n.quotas.roundSoon = n, make(chan struct{}, 1)
@@ -392,11 +392,11 @@
 	return n.cfg.Entries
 }
 
-// assumedEntries is the number of entries assumed to share limits and retries
-// until the others are known: the largest planned site has 91, and after a
-// power loss all of its entries start at once. The retries that requests earn
-// themselves do not depend on it.
-const assumedEntries = 100
+// worstCaseEntries is the number of entries assumed to share limits, retries
+// and reads of the store until the others are known: the largest planned site
+// has 91, and after a power loss all of its entries start at once. The retries
+// that requests earn themselves do not depend on it.
+const worstCaseEntries = 100
 
 // retrySharers returns how many entries may share the retry budget. It counts
 // all listed entries, also those that have sent no heartbeat yet or have
@@ -406,7 +406,7 @@
 		return max(listed+1, n.cfg.Entries)
 	}
 
-	return assumedEntries
+	return worstCaseEntries
 }
 
 // candidates returns the members as candidates for the lease.
--- a/internal/fleet/node/pace.go
+++ b/internal/fleet/node/pace.go
@@ -69,7 +69,7 @@
 func (n *Node) pollState() pollState {
 	entries := n.peers.listed() + 1
 	if !n.peers.scanned.Load() {
-		entries = max(entries, assumedEntries)
+		entries = max(entries, worstCaseEntries)
 	}
 
 	return pollState{entries: entries, holding: n.holder.Holding(), led: n.led()}
--- a/internal/fleet/node/quotas.go
+++ b/internal/fleet/node/quotas.go
@@ -58,7 +58,7 @@
 // entryCount returns how many entries share the limits.
 func (q *quotas) entryCount() int {
 	if !q.node.peers.scanned.Load() {
-		return assumedEntries
+		return worstCaseEntries
 	}
 
 	return q.node.peers.listed() + 1
