--- a/internal/fleet/node/calls.go
+++ b/internal/fleet/node/calls.go
@@ -12,10 +12,10 @@
 	"github.com/fulmarcross/fulmarcross/internal/platform/table"
 )
 
-// call is what a call to the platform's store is for.
+// call is the purpose of a call to the platform's store.
 type call string
 
-// The calls to the store.
+// The purposes of calls to the store.
 const (
 	callConfig  call = "config"
 	callTargets call = "targets"
@@ -23,24 +23,24 @@
 	callEntries call = "entries"
 )
 
-// cause is why a call to the store is made.
+// cause is the reason for a call to the store.
 type cause string
 
 // The causes of calls.
 const (
-	// causeStart calls learn what a process does not know at all.
+	// causeStart is for reads of data that the process has not read yet.
 	causeStart cause = "start"
-	// causeHolding calls are those of the holder, on which the others rest.
+	// causeHolding is for calls of the holder, on which the other entries rely.
 	causeHolding cause = "holding"
-	// causeLed calls are those of entries that the holder tells of changes.
+	// causeLed is for calls of entries to which the holder announces changes.
 	causeLed cause = "led"
-	// causeAlone calls are those of entries that hear no holder, or one that
-	// does not hear the store.
+	// causeAlone is for calls of entries that receive nothing from a holder, or
+	// whose holder cannot read the store.
 	causeAlone cause = "alone"
 )
 
-// cause returns why an entry that knows the store calls it.
-func (s standing) cause() cause {
+// cause returns the cause of a call by an entry that has read the store before.
+func (s pollState) cause() cause {
 	switch {
 	case s.holding:
 		return causeHolding
@@ -51,46 +51,47 @@
 	}
 }
 
-// noteLook counts a look at the store by an entry that knows it as of a version,
-// or not at all if that is zero.
-func (n *Node) noteLook(what call, s standing, after uint64) {
+// countRead counts a read of the store by an entry whose data is as of a
+// version; zero means that it has none.
+func (n *Node) countRead(purpose call, s pollState, after uint64) {
 	if after == 0 && !s.holding {
-		n.calls.note(what, causeStart)
+		n.calls.count(purpose, causeStart)
 
 		return
 	}
 
-	n.calls.note(what, s.cause())
+	n.calls.count(purpose, s.cause())
 }
 
-// calls counts the calls to the platform's store, which are priced. Set metrics
-// before use.
+// calls counts the calls to the platform's store, which are charged for. Set
+// metrics before use.
 type calls struct {
 	counts
 
 	metrics tally.Scope
 }
 
-func (c *calls) note(what call, why cause) {
-	c.metrics.Tagged(map[string]string{"call": string(what), "cause": string(why)}).Counter("store_calls").Inc(1)
-	c.add(string(what)+" "+string(why), 1)
+func (c *calls) count(purpose call, reason cause) {
+	c.metrics.Tagged(map[string]string{"call": string(purpose), "cause": string(reason)}).Counter("store_calls").Inc(1)
+	c.add(string(purpose)+" "+string(reason), 1)
 }
 
-// callsEvery is the time between two lines that tell the counts so far.
-const callsEvery = 10 * time.Second
+// callsLogInterval is the time between two log lines with the counts so far.
+const callsLogInterval = 10 * time.Second
 
-// logCalls tells how many calls to the store were made since the process
+// logCalls logs how many calls to the store were made since the process
 // started, and how many bytes were exchanged with other entries.
 func (n *Node) logCalls(ctx context.Context) {
 	var calls, bytes int
 
-	for clock.Sleep(ctx, callsEvery) == nil {
-		calls = n.logCounts("store calls", "calls", n.calls.counted(), calls)
-		bytes = n.logCounts("bytes between entries", "bytes", n.traffic.counted(), bytes)
+	for clock.Sleep(ctx, callsLogInterval) == nil {
+		calls = n.logCounts("store calls", "calls", n.calls.totals(), calls)
+		bytes = n.logCounts("bytes between entries", "bytes", n.traffic.totals(), bytes)
 	}
 }
 
-// logCounts tells counts unless their sum is the last one, and returns it.
+// logCounts logs the counts if their sum differs from the last one, and returns
+// the sum.
 func (n *Node) logCounts(message, name string, counts map[string]int, last int) int {
 	sum := 0
 	line := zerolog.Dict()
@@ -111,35 +112,35 @@
 type countedTable struct {
 	table.Service
 
-	note func(key string)
+	count func(key string)
 }
 
-// noteTable counts a call for a key of the product's own table.
-func (n *Node) noteTable(key string) {
+// countTableCall counts a call for a key of the product's own table.
+func (n *Node) countTableCall(key string) {
 	if strings.HasPrefix(key, entryPrefix) {
-		n.calls.note(callEntries, causeStart)
+		n.calls.count(callEntries, causeStart)
 	} else {
-		n.calls.note(callLease, n.standing().cause())
+		n.calls.count(callLease, n.pollState().cause())
 	}
 }
 
 // Read implements table.Service.
 func (t countedTable) Read(ctx context.Context, keys ...string) ([]table.Row, error) {
-	t.note(keys[0])
+	t.count(keys[0])
 
 	return t.Service.Read(ctx, keys...)
 }
 
 // Scan implements table.Service.
 func (t countedTable) Scan(ctx context.Context, prefix, after string, limit int) ([]table.Row, error) {
-	t.note(prefix)
+	t.count(prefix)
 
 	return t.Service.Scan(ctx, prefix, after, limit)
 }
 
 // Commit implements table.Service.
 func (t countedTable) Commit(ctx context.Context, tx table.Transaction) (uint64, error) {
-	t.note(tx.Writes[0].Key)
+	t.count(tx.Writes[0].Key)
 
 	return t.Service.Commit(ctx, tx)
 }
--- a/internal/fleet/node/confirm.go
+++ b/internal/fleet/node/confirm.go
@@ -9,36 +9,37 @@
 )
 
 const (
-	// confirmTime bounds one check of the configuration.
-	confirmTime = 400 * time.Millisecond
-	// confirmRest is the time between the beginnings of two checks, so that unknown
-	// keys, however many, cost few. A caller waits for this and for one check at
-	// most.
-	confirmRest = 200 * time.Millisecond
+	// confirmTimeout bounds one check of the configuration.
+	confirmTimeout = 400 * time.Millisecond
+	// confirmInterval is the time between the starts of two checks, so that
+	// unknown keys, however many, cause few calls. A client waits at most for
+	// this and one check.
+	confirmInterval = 200 * time.Millisecond
 )
 
-// confirmation is the check of the configuration that callers with unknown keys
-// share. The zero value has checked nothing.
+// confirmation coordinates the checks of the configuration that clients with
+// unknown keys share. The zero value is ready to use.
 type confirmation struct {
 	mu sync.Mutex
-	// began is when the last check began, and next is closed when the one that has
-	// not begun yet has ended.
+	// began is when the last check began, and next is closed when the next
+	// check, which has not begun yet, has ended.
 	began time.Time
 	next  chan struct{}
-	// looked is when a check last went to the store.
-	looked time.Time
+	// storeChecked is when a check last called the store.
+	storeChecked time.Time
 }
 
-// confirm makes sure that the configuration in force here is as new as it was
-// when confirm was called, or returns when ctx ends or nobody answers.
+// confirm ensures that the configuration in force here is at least as new as
+// the newest one when confirm was called. It gives up when ctx ends or when
+// neither the store nor the holder answers.
 func (n *Node) confirm(ctx context.Context) {
-	c := &n.confirmed
+	c := &n.confirmation
 
 	c.mu.Lock()
 	if c.next == nil {
 		c.next = make(chan struct{})
 
-		go n.confirmAfter(time.Until(c.began.Add(confirmRest)), c.next)
+		go n.confirmAfter(time.Until(c.began.Add(confirmInterval)), c.next)
 	}
 
 	done := c.next
@@ -50,69 +51,69 @@
 	}
 }
 
-// confirmAfter makes the next check, after a pause, and closes done.
+// confirmAfter makes the next check after a pause and closes done.
 func (n *Node) confirmAfter(pause time.Duration, done chan<- struct{}) {
 	defer close(done)
 
-	if clock.Sleep(n.work, pause) != nil {
+	if clock.Sleep(n.workCtx, pause) != nil {
 		return
 	}
 
-	c := &n.confirmed
+	c := &n.confirmation
 
 	c.mu.Lock()
 	c.began, c.next = time.Now(), nil
 
-	// All entries together ask the store no more often than a few would.
-	store := c.began.Sub(c.looked) >= spread(confirmRest, n.entries())
+	// All entries together call the store no more often than a few would.
+	store := c.began.Sub(c.storeChecked) >= scaleInterval(confirmInterval, n.entryCount())
 	if store {
-		c.looked = c.began
+		c.storeChecked = c.began
 	}
 	c.mu.Unlock()
 
-	ctx, cancel := context.WithTimeout(n.work, confirmTime)
+	ctx, cancel := context.WithTimeout(n.workCtx, confirmTimeout)
 	defer cancel()
 
 	if store {
-		_ = n.confirmedByStore(ctx) || n.confirmedByHolder(ctx) // What nobody answers stays as it is.
+		_ = n.confirmWithStore(ctx) || n.confirmWithHolder(ctx) // Without an answer the configuration stays as it is.
 	} else {
-		_ = n.confirmedByHolder(ctx) || n.confirmedByStore(ctx)
+		_ = n.confirmWithHolder(ctx) || n.confirmWithStore(ctx)
 	}
 }
 
-// confirmedByHolder puts in force what the holder has, if it is newer, and
-// reports whether it answered.
-func (n *Node) confirmedByHolder(ctx context.Context) bool {
-	v, q := n.holderView(ctx, n.lacksConfig())
+// confirmWithHolder activates the holder's configuration if it is newer, and
+// reports whether the holder answered.
+func (n *Node) confirmWithHolder(ctx context.Context) bool {
+	v, q := n.fetchFromHolder(ctx, n.configOnly())
 	if q == nil {
 		return false
 	}
 
-	n.takeConfig(v, q)
+	n.applyPeerConfig(v, q)
 
 	return true
 }
 
-// confirmedByStore puts in force what the store has, if it is newer, and reports
-// whether it answered.
-func (n *Node) confirmedByStore(ctx context.Context) bool {
-	// What the holder knows is asked when the store is silent.
-	ctx, cancel := context.WithTimeout(ctx, confirmTime/2) //nolint:mnd // Half of the time for either.
+// confirmWithStore activates the store's configuration if it is newer, and
+// reports whether the store answered.
+func (n *Node) confirmWithStore(ctx context.Context) bool {
+	// The rest of the time is for the holder if the store does not answer.
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout/2) //nolint:mnd // Half of the time for each.
 	defer cancel()
 
 	n.mu.Lock()
-	after := n.configRead
+	after := n.configReadVersion
 	n.mu.Unlock()
 
 	c, _, err := n.cfg.Source.ConfigurationAfter(ctx, after, 0)
 
 	switch {
 	case err != nil:
-		n.cfg.Log.Info().Err(err).Msg("configuration not confirmed by the store")
+		n.cfg.Log.Info().Err(err).Msg("cannot confirm configuration with the store")
 
 		return false
 	case c != nil:
-		n.putInForce(c)
+		n.activateConfig(c)
 	}
 
 	return true
--- a/internal/fleet/node/handler.go
+++ b/internal/fleet/node/handler.go
@@ -13,85 +13,87 @@
 )
 
 // Greet implements news.Handler.
-func (n *Node) Greet(g news.Greeting) news.Greeting { return n.peers.answer(g) }
+func (n *Node) Greet(g news.Greeting) news.Greeting { return n.peers.answerGossip(g) }
 
 // Hear implements news.Handler.
 func (n *Node) Hear(d holder.Delta) holder.Version {
 	n.mu.Lock()
-	latest, ok := n.history.Apply(d)
+	latest, ok := n.holderHistory.Apply(d)
 	n.mu.Unlock()
 
 	if ok && n.holder.Receive(latest) {
-		n.takeNews(latest)
+		n.applyHolderState(latest)
 	}
 
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	return n.news.Version()
+	return n.holderState.Version()
 }
 
-func (n *Node) takeNews(latest holder.Snapshot) {
+func (n *Node) applyHolderState(latest holder.Snapshot) {
 	n.mu.Lock()
-	if n.news.Token != latest.Token {
-		n.cfg.Log.Info().Str("holder", string(latest.Holder)).Uint64("token", latest.Token).Msg("holder heard")
+	if n.holderState.Token != latest.Token {
+		n.cfg.Log.Info().Str("holder", string(latest.Holder)).Uint64("token", latest.Token).Msg("new lease term")
 	}
 
-	n.heard = time.Now()
+	n.holderReceived = time.Now()
 	if latest.Holder == n.cfg.Self {
-		n.history.Publish(latest, n.heard)
+		n.holderHistory.Publish(latest, n.holderReceived)
 	} else {
-		n.history.Receive(latest, n.heard)
-		n.noteStore(latest.StoreAge, n.heard)
+		n.holderHistory.Receive(latest, n.holderReceived)
+		n.recordHolderStoreAge(latest.StoreAge, n.holderReceived)
 	}
 
-	n.news = n.history.Snapshot()
+	n.holderState = n.holderHistory.Snapshot()
 
-	behind := n.list < latest.ListVersion
+	behind := n.listVersion < latest.ListVersion
 	n.mu.Unlock()
-	poke(n.changed)
+	signal(n.routingChanged)
 
 	if behind {
-		poke(n.listBehind)
-		poke(n.listTold)
+		signal(n.refreshList)
+		signal(n.listAnnounced)
 	}
 
 	if c := n.config(); c == nil && latest.ConfigVersion > 0 || c != nil && c.Version < latest.ConfigVersion {
-		poke(n.configBehind)
-		poke(n.configTold)
+		signal(n.refreshConfig)
+		signal(n.configAnnounced)
 	}
 }
 
-// publish hands this holder's news to everybody.
+// publish adds the versions of the configuration and the list to this holder's
+// snapshot, applies it and sends it to all peers.
 func (n *Node) publish(latest holder.Snapshot) {
 	if c := n.config(); c != nil {
 		latest.ConfigVersion = c.Version
 	}
 
 	n.mu.Lock()
-	latest.ListVersion = n.usable
-	latest.StoreAge = time.Since(clock.Earlier(n.lookedConfig, n.lookedTargets))
+	latest.ListVersion = n.usableVersion
+	latest.StoreAge = time.Since(clock.Earlier(n.configAsOf, n.targetsAsOf))
 	n.mu.Unlock()
 
-	n.takeNews(latest)
-	n.peers.publish()
+	n.applyHolderState(latest)
+	n.peers.notifyAll()
 }
 
-// newsSince returns what is new to a peer that has these news, or of which that
-// is not known. It reports false unless the newest are this entry's own.
-func (n *Node) newsSince(has holder.Version, known bool) (holder.Delta, bool) {
+// deltaSince returns the changes since a peer's version, or since the previous
+// version if the peer's is unknown. It reports false unless the latest snapshot
+// is this process's own.
+func (n *Node) deltaSince(version holder.Version, versionKnown bool) (holder.Delta, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	if n.news.Holder != n.cfg.Self || n.news.Process != n.process {
+	if n.holderState.Holder != n.cfg.Self || n.holderState.Process != n.process {
 		return holder.Delta{}, false
 	}
 
-	if !known {
-		has = n.history.PreviousVersion()
+	if !versionKnown {
+		version = n.holderHistory.PreviousVersion()
 	}
 
-	return n.history.Since(has), true
+	return n.holderHistory.Since(version), true
 }
 
 // Report implements news.Handler.
@@ -100,10 +102,11 @@
 }
 
 // Block implements news.Handler.
-func (n *Node) Block(fp request.Fingerprint) { n.lines.Block(fp) }
+func (n *Node) Block(fp request.Fingerprint) { n.dispatcher.Block(fp) }
 
-// noticed spreads what was found on a request's path.
-func (n *Node) noticed(notice dispatch.Notice) {
+// broadcastNotice sends the fingerprint of a poison request to all peers that
+// are alive.
+func (n *Node) broadcastNotice(notice dispatch.Notice) {
 	if notice.Poisoned == 0 {
 		return
 	}
@@ -112,28 +115,30 @@
 
 	for _, m := range n.peers.alive() {
 		go func() {
-			if q := n.peers.of(m.ID); q != nil {
-				// A peer that does not hear it finds out by itself.
-				_ = q.client.Block(n.work, notice.Poisoned)
+			if q := n.peers.connection(m.ID); q != nil {
+				// A peer that misses it detects the poison request by itself.
+				_ = q.client.Block(n.workCtx, notice.Poisoned)
 			}
 		}()
 	}
 }
 
 const (
-	// reportEvery is how often an entry reports when nothing new waits.
-	reportEvery = 400 * time.Millisecond
-	// gather is how long a report waits for further requests.
-	gather = 3 * time.Millisecond
-	// idlePace is how long a report waits, for each entry that there is, when all
-	// that it tells is that a replica has fallen idle. All entries together make
-	// 200 such reports a second at most.
-	idlePace = 5 * time.Millisecond
+	// reportInterval is the time between two reports when no new requests are
+	// queued.
+	reportInterval = 400 * time.Millisecond
+	// reportDelay is how long a report waits for further requests.
+	reportDelay = 3 * time.Millisecond
+	// idleReportDelay is how long a report waits, for each entry that there is,
+	// when it only reports that a replica has become idle. All entries together
+	// make at most 200 such reports a second.
+	idleReportDelay = 5 * time.Millisecond
 )
 
-// report tells the holder what this entry's requests wait for and run on.
+// report sends the holder the models that this entry's requests wait for and
+// run on.
 func (n *Node) report(ctx context.Context) {
-	t := time.NewTicker(reportEvery)
+	t := time.NewTicker(reportInterval)
 	defer t.Stop()
 
 	var idle <-chan time.Time
@@ -142,15 +147,15 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.idled:
+		case <-n.reportIdle:
 			if idle == nil {
-				idle = time.After(time.Duration(n.entries()) * idlePace)
+				idle = time.After(time.Duration(n.entryCount()) * idleReportDelay)
 			}
 
 			continue
 		case <-idle:
-		case <-n.asked:
-			_ = clock.Sleep(ctx, gather)
+		case <-n.reportSoon:
+			_ = clock.Sleep(ctx, reportDelay)
 		case <-t.C:
 		}
 
@@ -161,28 +166,28 @@
 }
 
 func (n *Node) reportOnce(ctx context.Context) {
-	waiting, uses := n.lines.Report(0)
+	waiting, uses := n.dispatcher.Report(0)
 	r := demand.Report{Entry: n.cfg.Self, Process: n.process, Waiting: waiting, Uses: uses}
 
 	n.mu.Lock()
-	missing := n.missing
-	n.missing = nil
+	missing := n.unreportedMissing
+	n.unreportedMissing = nil
 	n.mu.Unlock()
 
 	if n.holder.Holding() {
-		_ = n.holder.Report(r, missing) // It may just have lost the lease, then the next report goes elsewhere.
+		_ = n.holder.Report(r, missing) // If it just lost the lease, the next report goes to the new holder.
 
 		return
 	}
 
-	q := n.peers.of(n.holder.LastHolder())
+	q := n.peers.connection(n.holder.LastHolder())
 	if q == nil {
 		return
 	}
 
 	go func() {
 		if err := q.client.Report(ctx, r, missing); err != nil && ctx.Err() == nil {
-			n.cfg.Log.Debug().Err(err).Str("holder", string(q.ID)).Msg("report not taken")
+			n.cfg.Log.Debug().Err(err).Str("holder", string(q.ID)).Msg("cannot send report to holder")
 		}
 	}()
 }
--- a/internal/fleet/node/homes.go
+++ b/internal/fleet/node/homes.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// homesOfLimits is how many entries decide on limits: a death among them
-	// touches a part of the teams only.
-	homesOfLimits = 3
-	// formerHomes is how many of the strongest entries are asked after a start
-	// whether the process before had lent them something: a home is not among them
-	// only where more than half of them were passed over.
-	formerHomes = 8
-	// formerAsked is for how long after a start they are asked.
-	formerAsked = 2 * time.Second
+	// maxOwners is how many entries own limits: the death of one affects only a
+	// part of the teams.
+	maxOwners = 3
+	// maxFormerOwners is how many of the strongest entries are queried after a
+	// start whether the previous process had delegated shares to them: an owner
+	// is missing among them only if more than half of them were excluded.
+	maxFormerOwners = 8
+	// formerOwnersPeriod is how long after a start they are queried.
+	formerOwnersPeriod = 2 * time.Second
 )
 
-// former returns the entries that may have been homes before this process
-// started, if all entries are known.
-func (q *quotas) former() []instance.ID {
+// formerOwners returns the entries that may have been owners before this
+// process started, or nil if the list of entries is not complete yet.
+func (q *quotas) formerOwners() []instance.ID {
 	if !q.node.peers.scanned.Load() {
 		return nil
 	}
 
-	strong := strongest(q.node.peers.all(), formerHomes)
+	strong := strongest(q.node.peers.all(), maxFormerOwners)
 	out := make([]instance.ID, len(strong))
 
 	for i, m := range strong {
@@ -41,25 +41,26 @@
 	return out
 }
 
-// present returns the members that are known to be there: those that are alive,
-// and after a start, when few were heard yet, those that have answered.
-func (q *quotas) present() []membership.Member {
+// presentMembers returns the members that are known to run: those that are
+// alive, and shortly after a start, when few heartbeats have arrived, also
+// those that have answered.
+func (q *quotas) presentMembers() []membership.Member {
 	out := q.node.peers.alive()
 
-	if clock.Now().Sub(q.lender.Started) > formerAsked {
+	if clock.Now().Sub(q.delegator.Started) > formerOwnersPeriod {
 		return out
 	}
 
-	known := make(map[instance.ID]bool, len(out))
+	seen := make(map[instance.ID]bool, len(out))
 	for _, m := range out {
-		known[m.ID] = true
+		seen[m.ID] = true
 	}
 
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	for _, m := range q.node.peers.likely() {
-		if q.answered[m.ID] && !known[m.ID] {
+	for _, m := range q.node.peers.aliveOrNew() {
+		if q.answered[m.ID] && !seen[m.ID] {
 			out = append(out, m)
 		}
 	}
@@ -67,45 +68,45 @@
 	return out
 }
 
-// choose returns the homes of all limits: a few of the strongest entries that are
-// alive and answer. The parts of a group have different homes.
-func (q *quotas) choose(alive []membership.Member) quota.Owners {
+// chooseOwners returns the owners of all limits: a few of the strongest entries
+// that are alive and answer. The parts of a group have different owners.
+func (q *quotas) chooseOwners(alive []membership.Member) quota.Owners {
 	now := clock.Now()
 
 	q.mu.Lock()
-	alive = slices.DeleteFunc(alive, func(m membership.Member) bool { return q.passedOver(m.ID, now) })
+	alive = slices.DeleteFunc(alive, func(m membership.Member) bool { return q.excluded(m.ID, now) })
 	q.mu.Unlock()
 
 	if !q.node.stopping.Load() {
 		alive = append(alive, q.node.peers.self())
 	}
 
-	return divide(strongest(alive, homesOfLimits))
+	return assignOwners(strongest(alive, maxOwners))
 }
 
-// passedOver reports whether an entry has been silent too often to be a home. The
+// excluded reports whether an entry has failed too often to be an owner. The
 // caller holds the lock.
-func (q *quotas) passedOver(id instance.ID, now time.Time) bool {
-	return now.Before(q.silent[id].until)
+func (q *quotas) excluded(id instance.ID, now time.Time) bool {
+	return now.Before(q.failures[id].excludedUntil)
 }
 
-// strongest returns so many of the strongest members, in an order on which all
-// entries agree.
+// strongest returns the n strongest members, in an order that is the same on
+// all entries.
 func strongest(members []membership.Member, n int) []membership.Member {
 	slices.SortFunc(members, func(a, b membership.Member) int {
-		// Peers know each other's strength as a float32 only.
+		// Peers receive each other's strength as a float32 only.
 		return cmp.Or(cmp.Compare(float32(b.Strength), float32(a.Strength)), cmp.Compare(instance.Score("limits", b.ID), instance.Score("limits", a.ID)))
 	})
 
 	return members[:min(n, len(members))]
 }
 
-// divide divides the limits among their homes.
-func divide(among []membership.Member) quota.Owners {
+// assignOwners distributes the limits over the members.
+func assignOwners(members []membership.Member) quota.Owners {
 	var out quota.Owners
 
-	ids, runs := make([]instance.ID, len(among)), make(map[instance.ID]string)
-	for i, m := range among {
+	ids, runs := make([]instance.ID, len(members)), make(map[instance.ID]string)
+	for i, m := range members {
 		ids[i], runs[m.ID] = m.ID, m.Process
 	}
 
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -1,6 +1,6 @@
-// Package node is one entry on the users' platform, put together: it learns
-// what is in force and which targets there are, answers callers, takes part in
-// the control of the engines and speaks with the other entries.
+// Package node assembles one entry: it follows the configuration and the list
+// of targets, serves clients, takes part in the control of the engines and
+// communicates with the other entries.
 package node
 
 import (
@@ -34,24 +34,25 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/news"
 )
 
-// Source is where an entry learns what is in force and which targets there
-// are. Its calls with a version wait for changes.
+// Source provides the configuration and the list of targets. The methods that
+// take a version wait for changes after it.
 type Source interface {
 	Configuration(ctx context.Context) (*route.Config, uint64, error)
 	ConfigurationAfter(ctx context.Context, after uint64, wait time.Duration) (*route.Config, uint64, error)
 	Targets(ctx context.Context) ([]inventory.Change, uint64, error)
 	TargetsAfter(ctx context.Context, after uint64, wait time.Duration) ([]inventory.Change, uint64, error)
-	// Decode reads a configuration's text.
+	// Decode parses a configuration's text.
 	Decode(text []byte) (*route.Config, error)
 }
 
-// Config is what an entry works with.
+// Config configures a Node.
 type Config struct {
 	Self       instance.ID
 	DataCentre instance.DataCentre
 	// Callers, Readiness, Peers and Metrics are the addresses to listen on.
 	Callers, Readiness, Peers, Metrics netip.AddrPort
-	// Seeds are entries that may be asked for the others.
+	// Seeds are the addresses of entries to contact first to discover the
+	// others.
 	Seeds []netip.AddrPort
 	// ReadyPath is the path of the readiness check.
 	ReadyPath string
@@ -61,145 +62,155 @@
 	Protocol  relay.Protocol
 	// Strength is the share of a processor that this instance has.
 	Strength float64
-	// Entries is how many entries there may be until the others are known.
+	// Entries is the number of entries assumed until the others are known.
 	Entries   int
 	Allowance relay.RetryLimit
-	// Slack is what may pass beyond teams' limits.
+	// Slack is how far requests may exceed their teams' limits.
 	Slack quota.Slack
-	// Grace is how long a process may take to stop, and TurnPause for how long
-	// no two holders may take turns.
+	// Grace is how long a graceful shutdown may take. TurnPause is the minimum
+	// time between the orders of two successive lease holders.
 	Grace, TurnPause time.Duration
 	Log              zerolog.Logger
-	// Dropped returns how many log lines were not written; nil means none.
+	// Dropped returns the number of log lines that were dropped; nil means
+	// none.
 	Dropped func() int64
 }
 
 // Node is one entry. Create it with New.
 type Node struct {
-	cfg     Config
-	process string
-	started time.Time
-	relay   *relay.Server
-	lines   *dispatch.Dispatcher
-	targets router.Table
-	holder  *holder.Holder
-	peers   peers
-	// work ends after the last request was answered.
-	work    context.Context
-	finish  context.CancelFunc
-	pool    relay.Pool
-	budgets relay.RetryBudgets
-	page    metric.Page
-	metrics tally.Scope
-	calls   calls
-	traffic traffic
-	quotas  quotas
-	// confirmed is the last check that no newer configuration is in force.
-	confirmed confirmation
-	// unscope ends the metrics' reports.
-	unscope io.Closer
+	cfg        Config
+	process    string
+	started    time.Time
+	relay      *relay.Server
+	dispatcher *dispatch.Dispatcher
+	routing    router.Table
+	holder     *holder.Holder
+	peers      peers
+	// workCtx ends after the last request has been answered.
+	workCtx     context.Context
+	cancelWork  context.CancelFunc
+	pool        relay.Pool
+	budgets     relay.RetryBudgets
+	metricsPage metric.Page
+	metrics     tally.Scope
+	calls       calls
+	traffic     traffic
+	quotas      quotas
+	// confirmation coordinates the checks for a newer configuration.
+	confirmation confirmation
+	// metricsCloser stops the reporting of metrics.
+	metricsCloser io.Closer
 
 	routes   atomic.Pointer[route.Table]
 	listed   atomic.Bool
 	stopping atomic.Bool
-	// listBehind and configBehind ask for a look at the store at once.
-	listBehind, configBehind chan struct{}
-	packed                   packed
-	// askingConfig and askingTargets say that a call to the store for the
-	// configuration or the list of targets is under way.
-	askingConfig, askingTargets atomic.Bool
-	// configTold and listTold say that the holder has told of a newer one.
-	configTold, listTold chan struct{}
-	// changed asks for the routing to be built anew, asked for a report, and idled
-	// for one that may wait a little.
-	changed, asked, idled chan struct{}
-
-	mu   sync.Mutex
-	book inventory.Registry
-	// list is the store's version at which the list of targets was last read,
-	// here or by the peer that told of it.
-	list uint64
-	// removals are the targets that went from the list.
+	// refreshList and refreshConfig request an immediate read of the store.
+	refreshList, refreshConfig chan struct{}
+	packedConfig               packedConfig
+	// readingConfig and readingTargets report that a call to the store for the
+	// configuration or the list of targets is in progress.
+	readingConfig, readingTargets atomic.Bool
+	// configAnnounced and listAnnounced signal that the holder has announced a
+	// newer configuration or list.
+	configAnnounced, listAnnounced chan struct{}
+	// routingChanged requests a rebuild of the routing, reportSoon a report to
+	// the holder, and reportIdle a report that may be delayed by
+	// idleReportDelay.
+	routingChanged, reportSoon, reportIdle chan struct{}
+
+	mu       sync.Mutex
+	registry inventory.Registry
+	// listVersion is the store's version at which the list of targets was last
+	// read, by this entry or by the peer that sent it.
+	listVersion uint64
+	// removals are the targets that were removed from the list.
 	removals removals
-	// usable is the version of the list at the last change of which targets
-	// may be used.
-	usable uint64
-	// lostConfig and lostTargets say that the store does not answer.
-	lostConfig, lostTargets atomic.Bool
-	// known is a copy of the book's targets that nobody changes.
-	known map[instance.ID]inventory.Target
-	// news are the newest of history.
-	news    holder.Snapshot
-	history holder.History
-	heard   time.Time
-	// lookedConfig and lookedTargets are up to when this entry knows what the
-	// store held.
-	lookedConfig, lookedTargets time.Time
-	// configRead is the store's version at which the configuration was last read.
-	configRead uint64
-	// absent is what targets were found not to hold.
-	absent  map[holder.Missing]absence
-	missing []holder.Missing
-	number  uint64
-	routed  routed
+	// usableVersion is the version of the list at the last change of which
+	// targets may be used.
+	usableVersion uint64
+	// configReadsFail and targetReadsFail report that the store does not
+	// answer.
+	configReadsFail, targetReadsFail atomic.Bool
+	// targetsByID is a copy of the registry's targets; it is replaced, never
+	// modified.
+	targetsByID map[instance.ID]inventory.Target
+	// holderState is the latest snapshot of holderHistory, and holderReceived
+	// the time at which it was received.
+	holderState    holder.Snapshot
+	holderHistory  holder.History
+	holderReceived time.Time
+	// configAsOf and targetsAsOf are the times of the last successful reads of
+	// the store.
+	configAsOf, targetsAsOf time.Time
+	// configReadVersion is the store's version at which the configuration was
+	// last read.
+	configReadVersion uint64
+	// absences are the models that targets turned out not to hold.
+	// unreportedMissing are those of them, and the unreachable targets, that
+	// the next report sends to the holder.
+	absences          map[holder.Missing]absence
+	unreportedMissing []holder.Missing
+	snapshotNumber    uint64
+	applied           appliedRouting
 }
 
 // New returns an entry. Run starts it.
 func New(cfg Config) *Node {
 	n := &Node{
 		cfg: cfg, process: uuid.NewString(), started: time.Now(),
-		listBehind: make(chan struct{}, 1), configBehind: make(chan struct{}, 1), configTold: make(chan struct{}, 1), listTold: make(chan struct{}, 1),
-		changed: make(chan struct{}, 1), asked: make(chan struct{}, 1), idled: make(chan struct{}, 1),
-		absent: make(map[holder.Missing]absence),
+		refreshList: make(chan struct{}, 1), refreshConfig: make(chan struct{}, 1), configAnnounced: make(chan struct{}, 1), listAnnounced: make(chan struct{}, 1),
+		routingChanged: make(chan struct{}, 1), reportSoon: make(chan struct{}, 1), reportIdle: make(chan struct{}, 1),
+		absences: make(map[holder.Missing]absence),
 	}
 	n.budgets.Limit = cfg.Allowance
 	n.budgets.Started = time.Now()
-	n.budgets.SetEntries(sharersUnknown)
-	n.work, n.finish = context.WithCancel(context.Background())
+	n.budgets.SetEntries(worstCaseEntries)
+	n.workCtx, n.cancelWork = context.WithCancel(context.Background())
 	n.peers.node = n
-	n.quotas.node, n.quotas.soon = n, make(chan struct{}, 1)
-	n.quotas.home.Slack, n.quotas.lender.Started = cfg.Slack, clock.Now()
-	n.peers.roll.Self = membership.Member{ID: cfg.Self, Address: cfg.Peers, Process: n.process, Started: time.Now(), Strength: cfg.Strength}
+	n.quotas.node, n.quotas.roundSoon = n, make(chan struct{}, 1)
+	n.quotas.owner.Slack, n.quotas.delegator.Started = cfg.Slack, clock.Now()
+	n.peers.members.Self = membership.Member{ID: cfg.Self, Address: cfg.Peers, Process: n.process, Started: time.Now(), Strength: cfg.Strength}
 
-	n.metrics, n.unscope = n.page.Scope()
+	n.metrics, n.metricsCloser = n.metricsPage.Scope()
 	n.calls.metrics, n.traffic.metrics = n.metrics, n.metrics
-	n.cfg.Table = countedTable{cfg.Table, n.noteTable}
-	n.lines = dispatch.New(dispatch.Config{
-		Table: &n.targets, Entries: n.entries, CellOf: func(string) int { return 0 },
+	n.cfg.Table = countedTable{cfg.Table, n.countTableCall}
+	n.dispatcher = dispatch.New(dispatch.Config{
+		Table: &n.routing, Entries: n.entryCount, CellOf: func(string) int { return 0 },
 		Prerequisite: holder.ModelOf,
-		OnQueued:     func(string) { poke(n.asked) }, OnReplicaIdle: func() { poke(n.idled) }, OnNotice: n.noticed, MaxWaiting: maxWaiting,
+		OnQueued:     func(string) { signal(n.reportSoon) }, OnReplicaIdle: func() { signal(n.reportIdle) }, OnNotice: n.broadcastNotice, MaxWaiting: maxWaiting,
 	})
 	n.relay = &relay.Server{
-		Protocol: cfg.Protocol, Dispatcher: n.lines, Pool: &n.pool, Budgets: &n.budgets,
-		Table: n.routes.Load, RefreshTable: n.confirm, Limits: &n.quotas, OnModelAbsent: n.foundAbsent, OnAddressMoved: n.foundMoved, OnUnreachable: n.foundUnreached, Log: cfg.Log, Metrics: n.metrics,
+		Protocol: cfg.Protocol, Dispatcher: n.dispatcher, Pool: &n.pool, Budgets: &n.budgets,
+		Table: n.routes.Load, RefreshTable: n.confirm, Limits: &n.quotas, OnModelAbsent: n.recordAbsent, OnAddressMoved: n.markMoved, OnUnreachable: n.recordUnreachable, Log: cfg.Log, Metrics: n.metrics,
 	}
 	n.holder = holder.New(holder.Config{
-		Self: cfg.Self, Strength: cfg.Strength, Process: n.process, Table: n.cfg.Table, Engines: cfg.Engines, Timing: terms, TurnPause: cfg.TurnPause,
+		Self: cfg.Self, Strength: cfg.Strength, Process: n.process, Table: n.cfg.Table, Engines: cfg.Engines, Timing: leaseTiming, TurnPause: cfg.TurnPause,
 		Targets: n.knownTargets, Routes: n.config,
 		Peers:      func() []holder.Candidate { return candidates(n.peers.alive()) },
-		Candidates: func() []holder.Candidate { return candidates(n.peers.likely()) },
+		Candidates: func() []holder.Candidate { return candidates(n.peers.aliveOrNew()) },
 		Publish:    n.publish, Log: cfg.Log,
 	})
 
 	return n
 }
 
-// Allow replaces the allowance for sending requests once more.
+// Allow replaces the limit on retries.
 func (n *Node) Allow(a relay.RetryLimit) { n.budgets.SetLimit(a) }
 
-// maxWaiting bounds the requests that wait for one model on this entry.
+// maxWaiting bounds the requests queued for one model on this entry.
 const maxWaiting = 256
 
-// terms are the lease's times. A take-over after a death takes the duration
-// and a look, about three seconds; a renewal has two tries before it lapses.
-var terms = lease.Timing{
+// leaseTiming is the timing of the lease. A takeover after a death takes the
+// duration and one poll, about three seconds. Two renewals fit into the
+// duration, so one may fail before the lease expires.
+var leaseTiming = lease.Timing{
 	Duration: 2500 * time.Millisecond,
 	Renew:    800 * time.Millisecond,
 	Poll:     400 * time.Millisecond,
 	Stagger:  200 * time.Millisecond,
 }
 
-func poke(ch chan struct{}) {
+func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
@@ -230,8 +241,9 @@
 		return err
 	}
 
-	// Work goes on while requests are answered after ctx has ended.
-	work, cancel := n.work, n.finish
+	// Background work continues while requests are answered after ctx has
+	// ended.
+	work, cancel := n.workCtx, n.cancelWork
 	defer cancel()
 
 	front := &http.Server{
@@ -239,17 +251,17 @@
 		ConnContext: relay.WithConn,
 		ErrorLog:    nil,
 	}
-	ready := &http.Server{Handler: n.checks(), ReadHeaderTimeout: headerTimeout}
-	metrics := &http.Server{Handler: &n.page, ReadHeaderTimeout: headerTimeout}
+	ready := &http.Server{Handler: n.readinessHandler(), ReadHeaderTimeout: headerTimeout}
+	metrics := &http.Server{Handler: &n.metricsPage, ReadHeaderTimeout: headerTimeout}
 
 	var wg sync.WaitGroup
 
-	wg.Go(func() { n.served("callers", front.Serve(callers)) })
-	wg.Go(func() { n.served("readiness", ready.Serve(checks)) })
-	wg.Go(func() { n.served("metrics", metrics.Serve(metricsListener)) })
-	wg.Go(func() { n.served("peers", news.Serve(work, peerListener, n)) })
+	wg.Go(func() { n.logServeError("callers", front.Serve(callers)) })
+	wg.Go(func() { n.logServeError("readiness", ready.Serve(checks)) })
+	wg.Go(func() { n.logServeError("metrics", metrics.Serve(metricsListener)) })
+	wg.Go(func() { n.logServeError("peers", news.Serve(work, peerListener, n)) })
 
-	for _, loop := range []func(context.Context){n.watchConfig, n.followConfig, n.watchTargets, n.followList, n.askPeers, n.keepRouting, n.report, n.holder.Run, n.peers.run, n.quotas.run, n.sweep, n.logCalls} {
+	for _, loop := range []func(context.Context){n.watchConfig, n.fetchAnnouncedConfig, n.watchTargets, n.fetchAnnouncedList, n.pollPeers, n.maintainRouting, n.report, n.holder.Run, n.peers.run, n.quotas.run, n.sweep, n.logCalls} {
 		wg.Go(func() { loop(work) })
 	}
 
@@ -260,46 +272,48 @@
 
 	_ = ready.Close()
 	_ = metrics.Close()
-	_ = n.unscope.Close()
+	_ = n.metricsCloser.Close()
 	_ = peerListener.Close()
 
 	cancel()
-	waitAtMost(&wg, stopMargin/2) //nolint:mnd // The rest is for the process to end.
+	waitTimeout(&wg, stopMargin/2) //nolint:mnd // The rest is for the process to exit.
 	n.cfg.Log.Info().Msg("stopped")
 
 	return nil
 }
 
 const (
-	// headerTimeout and idleTimeout bound how long a caller may take for a
-	// head and stay idle. The operators allow 3 s and 15 s; a connection must
-	// not be closed before its caller gives it up.
+	// headerTimeout and idleTimeout bound how long a client may take to send a
+	// header and keep an idle connection. They exceed the operators' 3 s and 15
+	// s, because a connection must not be closed before its client gives it up.
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 20 * time.Second
-	// maxHeader bounds a request's head; the operators allow 16 KB.
+	// maxHeader bounds a request's header; the operators allow 16 KB.
 	maxHeader = 32 << 10
 )
 
-func (n *Node) served(what string, err error) {
+func (n *Node) logServeError(listener string, err error) {
 	if !n.stopping.Load() && !errors.Is(err, http.ErrServerClosed) {
-		n.cfg.Log.Error().Err(err).Str("listener", what).Msg("listener ended")
+		n.cfg.Log.Error().Err(err).Str("listener", listener).Msg("listener failed")
 	}
 }
 
 const (
-	// crossing is how long after the stop's beginning idle connections stay
-	// open: the platform needs two checks, one a second, to send no more
-	// callers, and a request may be on its way.
-	crossing = 2300 * time.Millisecond
-	// streamTime is how long before the end of the grace a stream must have
-	// begun, so that most have ended by then.
-	streamTime = 4 * time.Second
-	// stopMargin is how long before the end of the grace the process is done.
+	// readinessDelay is how long idle connections stay open after a shutdown
+	// begins: the platform needs two failed checks, one a second, before it
+	// stops sending clients, and a request may be on its way.
+	readinessDelay = 2300 * time.Millisecond
+	// streamMargin is how long before the end of the grace period new streams
+	// are refused, so that most have ended by then.
+	streamMargin = 4 * time.Second
+	// stopMargin is how long before the end of the grace period the process
+	// must have finished.
 	stopMargin = 500 * time.Millisecond
 )
 
-// stop ends the entry: it reports not ready, gives up the lease, answers what
-// it has and what still comes, and closes.
+// stop shuts the entry down gracefully: it reports not ready, releases the
+// lease, answers the requests in flight and those that still arrive, and
+// closes.
 func (n *Node) stop(front *http.Server) {
 	began := time.Now()
 
@@ -311,41 +325,41 @@
 	ctx, cancel := context.WithTimeout(context.Background(), n.cfg.Grace-stopMargin)
 	defer cancel()
 
-	// Neither must hold up the stop: the store may be silent, and the lease
-	// then lapses by itself.
+	// These must not delay the shutdown: if the store does not answer, the
+	// lease expires by itself.
 	var leave sync.WaitGroup
 
 	leave.Go(func() { n.holder.Release(ctx) })
-	leave.Go(func() { n.peers.leave(ctx) })
+	leave.Go(func() { n.peers.announceLeaving(ctx) })
 
-	_ = clock.Sleep(ctx, crossing-time.Since(began)) // It ends early only at the end of the grace.
+	_ = clock.Sleep(ctx, readinessDelay-time.Since(began)) // Ends early only at the end of the grace period.
 
 	n.relay.EnterPhase(relay.RefusingNewStreams)
 
-	ending := time.AfterFunc(n.cfg.Grace-streamTime-time.Since(began), func() { n.relay.EnterPhase(relay.RefusingUnstartedStreams) })
+	ending := time.AfterFunc(n.cfg.Grace-streamMargin-time.Since(began), func() { n.relay.EnterPhase(relay.RefusingUnstartedStreams) })
 	defer ending.Stop()
 
 	if err := front.Shutdown(ctx); err != nil {
-		n.cfg.Log.Warn().Err(err).Int("running", n.relay.Running()).Msg("requests broken off at the end of the grace time")
+		n.cfg.Log.Warn().Err(err).Int("running", n.relay.Running()).Msg("requests aborted at the end of the grace period")
 	}
 
 	_ = front.Close()
 
-	// What is left of it has had the whole grace time.
-	waitAtMost(&leave, stopMargin/2) //nolint:mnd // See Run.
+	// Both have had the whole grace period.
+	waitTimeout(&leave, stopMargin/2) //nolint:mnd // See Run.
 }
 
-// waitAtMost waits for wg, but not for longer than d: a call to a silent store
-// must not keep a process past its grace time.
-func waitAtMost(wg *sync.WaitGroup, d time.Duration) {
+// waitTimeout waits for wg, but no longer than d: a call to an unresponsive
+// store must not keep the process beyond its grace period.
+func waitTimeout(wg *sync.WaitGroup, d time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	defer cancel()
 
-	_ = clock.Wait(ctx, wg) // What is late ends with the process.
+	_ = clock.Wait(ctx, wg) // Unfinished work ends with the process.
 }
 
-// checks answers the platform's readiness checks.
-func (n *Node) checks() http.Handler {
+// readinessHandler answers the platform's readiness checks.
+func (n *Node) readinessHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+n.cfg.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !n.ready() {
@@ -356,7 +370,7 @@
 	return mux
 }
 
-// ready reports whether callers may be sent here.
+// ready reports whether clients may be sent to this entry.
 func (n *Node) ready() bool {
 	return n.routes.Load() != nil && n.listed.Load() && !n.stopping.Load()
 }
@@ -369,33 +383,33 @@
 	return nil
 }
 
-// entries returns how many entries share the targets.
-func (n *Node) entries() int {
-	if known := len(n.peers.alive()) + 1; known > 1 {
-		return known
+// entryCount returns how many entries share the targets.
+func (n *Node) entryCount() int {
+	if listed := len(n.peers.alive()) + 1; listed > 1 {
+		return listed
 	}
 
 	return n.cfg.Entries
 }
 
-// sharersUnknown is how many entries are taken to share the repeats until the
-// others are known: the largest site that is planned for has 91, and after a
-// loss of power all of its entries start at once. What requests earn themselves
-// does not depend on it.
-const sharersUnknown = 100
-
-// sharers returns how many entries may share the repeats: all that are listed,
-// also those that have not been heard yet or any more, so that the shares
-// together are never more than there is.
-func (n *Node) sharers() int {
-	if known := n.peers.listed(); known > 0 {
-		return max(known+1, n.cfg.Entries)
+// worstCaseEntries is the number of entries assumed to share limits, retries
+// and reads of the store until the others are known: the largest planned site
+// has 91, and after a power loss all of its entries start at once. The retries
+// that requests earn themselves do not depend on it.
+const worstCaseEntries = 100
+
+// retrySharers returns how many entries may share the retry budget. It counts
+// all listed entries, also those that have sent no heartbeat yet or have
+// stopped sending them, so that the shares together never exceed the budget.
+func (n *Node) retrySharers() int {
+	if listed := n.peers.listed(); listed > 0 {
+		return max(listed+1, n.cfg.Entries)
 	}
 
-	return sharersUnknown
+	return worstCaseEntries
 }
 
-// candidates returns the members as those that may hold the lease.
+// candidates returns the members as candidates for the lease.
 func candidates(members []membership.Member) []holder.Candidate {
 	out := make([]holder.Candidate, len(members))
 
@@ -406,8 +420,8 @@
 	return out
 }
 
-// gauge shows what this entry has and believes.
-func (n *Node) gauge() {
+// updateGauges publishes this entry's state as metrics.
+func (n *Node) updateGauges() {
 	n.metrics.Gauge("running").Update(float64(n.relay.Running()))
 	n.metrics.Gauge("peers").Update(float64(len(n.peers.alive())))
 	n.metrics.Gauge("targets").Update(float64(len(n.knownTargets())))
@@ -428,27 +442,28 @@
 	}
 }
 
-const sweepEvery = 500 * time.Millisecond
+const sweepInterval = 500 * time.Millisecond
 
-// sweep closes idle connections to targets and keeps the budgets' share.
+// sweep periodically closes expired connections to targets, updates the gauges
+// and the share of the retry budget, and removes expired targets.
 func (n *Node) sweep(ctx context.Context) {
-	for clock.Sleep(ctx, sweepEvery) == nil {
+	for clock.Sleep(ctx, sweepInterval) == nil {
 		n.pool.CloseExpired(time.Now())
-		n.gauge()
-		n.budgets.SetEntries(n.sharers())
+		n.updateGauges()
+		n.budgets.SetEntries(n.retrySharers())
 
 		n.mu.Lock()
 
-		expired := n.book.Expire(time.Now())
+		expired := n.registry.Expire(time.Now())
 		if expired {
-			n.known = n.book.Targets()
-			// What expired is gone without a change of the list.
-			n.removals = removals{base: n.list + 1}
+			n.targetsByID = n.registry.Targets()
+			// Targets expire without a change of the list.
+			n.removals = removals{base: n.listVersion + 1}
 		}
 		n.mu.Unlock()
 
 		if expired {
-			poke(n.changed)
+			signal(n.routingChanged)
 		}
 	}
 }
--- a/internal/fleet/node/peers.go
+++ b/internal/fleet/node/peers.go
@@ -19,36 +19,36 @@
 )
 
 const (
-	// greetEvery is the time between two rounds of greetings.
-	greetEvery = 1500 * time.Millisecond
-	// scanEvery is the time between two looks at the entries' rows of a few
-	// entries. They tell each other of new ones, so this is for the case that
-	// nobody did.
-	scanEvery = 60 * time.Second
-	// entryPrefix is above the rows of all entries.
+	// gossipInterval is the time between two rounds of gossip.
+	gossipInterval = 1500 * time.Millisecond
+	// scanInterval is the time between two reads of the entries' rows where
+	// there are few entries. Entries announce new ones to each other, so this
+	// covers only announcements that were lost.
+	scanInterval = 60 * time.Second
+	// entryPrefix is the key prefix of the rows of all entries.
 	entryPrefix = "entry/"
 )
 
-// peers are the other entries and the ways to them.
+// peers is the list of the other entries and the connections to them.
 type peers struct {
 	node *Node
 
-	// scanned says that the entries' rows were read.
+	// scanned reports that the entries' rows have been read.
 	scanned atomic.Bool
 
-	mu   sync.Mutex
-	roll membership.List
-	ways map[instance.ID]*peer
+	mu          sync.Mutex
+	members     membership.List
+	connections map[instance.ID]*peer
 }
 
-// peer is the way to another entry's process.
+// peer is the connection to another entry's process.
 type peer struct {
 	membership.Member
 
 	client *news.Client
-	// kick says that there is something to tell it.
-	kick   chan struct{}
-	cancel context.CancelFunc
+	// updatePending signals that there is an update to send to it.
+	updatePending chan struct{}
+	cancel        context.CancelFunc
 }
 
 // entryRow is an entry's row in the store.
@@ -59,64 +59,64 @@
 	Strength float64 `json:"strength"`
 }
 
-// run makes this entry known and greets the others.
+// run registers this entry and exchanges gossip with the others until ctx ends.
 func (p *peers) run(ctx context.Context) {
 	var (
 		scanned time.Time
-		link    link
+		status  storeStatus
 	)
 
 	written := false
 
-	p.askSeeds(ctx)
+	p.contactSeeds(ctx)
 
 	for ctx.Err() == nil {
 		if !written {
-			written = p.write(ctx) == nil
+			written = p.writeRow(ctx) == nil
 		}
 
-		if scanned.IsZero() || time.Since(scanned) > spread(scanEvery, p.listed()+1) {
-			err := p.scan(ctx)
+		if scanned.IsZero() || time.Since(scanned) > scaleInterval(scanInterval, p.listed()+1) {
+			err := p.scanRows(ctx)
 			if err == nil && written {
 				scanned = time.Now()
 			}
 
-			link.note(p.node, "entries", err)
+			status.record(p.node, "entries", err)
 		}
 
-		p.round(ctx)
+		p.gossipRound(ctx)
 
-		pause := greetEvery
+		pause := gossipInterval
 		if scanned.IsZero() {
-			pause = failurePause
+			pause = minBackoff
 		}
 
 		_ = clock.Sleep(ctx, jitter(pause))
 	}
 }
 
-// askSeeds finds the first peers without the store, which may turn this entry
-// away.
-func (p *peers) askSeeds(ctx context.Context) {
+// contactSeeds discovers the first peers without the store, which may not
+// answer this entry.
+func (p *peers) contactSeeds(ctx context.Context) {
 	for _, address := range p.node.cfg.Seeds {
 		if address == p.node.cfg.Peers {
 			continue
 		}
 
 		go func() {
-			c := &news.Client{Caller: frame.Caller{Address: address, Count: p.node.traffic.note}}
+			c := &news.Client{Caller: frame.Caller{Address: address, Count: p.node.traffic.count}}
 			defer c.Close()
 
 			if err := p.exchange(ctx, c); err != nil {
-				p.node.cfg.Log.Info().Err(err).Stringer("seed", address).Msg("seed not reached")
+				p.node.cfg.Log.Info().Err(err).Stringer("seed", address).Msg("cannot reach seed")
 			}
 		}()
 	}
 }
 
-// write puts this entry's row into the store, whatever stands there.
-func (p *peers) write(ctx context.Context) error {
-	value, err := json.Marshal(entryRow{Address: p.node.cfg.Peers.String(), Process: p.node.process, BornMs: p.roll.Self.Started.UnixMilli(), Strength: p.node.cfg.Strength})
+// writeRow writes this entry's row to the store, replacing any that is there.
+func (p *peers) writeRow(ctx context.Context) error {
+	value, err := json.Marshal(entryRow{Address: p.node.cfg.Peers.String(), Process: p.node.process, BornMs: p.members.Self.Started.UnixMilli(), Strength: p.node.cfg.Strength})
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 	return err
 }
 
-func (p *peers) scan(ctx context.Context) error {
+func (p *peers) scanRows(ctx context.Context) error {
 	rows, err := table.ScanAll(ctx, p.node.cfg.Table, entryPrefix)
 	if err != nil {
 		return err
@@ -148,12 +148,12 @@
 		}
 
 		if err != nil {
-			p.node.cfg.Log.Warn().Err(err).Str("row", r.Key).Msg("entry's row cannot be read")
+			p.node.cfg.Log.Warn().Err(err).Str("row", r.Key).Msg("cannot decode entry row")
 
 			continue
 		}
 
-		p.roll.Add(membership.Member{
+		p.members.Add(membership.Member{
 			ID: instance.ID(r.Key[len(entryPrefix):]), Address: at, Process: row.Process, Started: time.UnixMilli(row.BornMs), Strength: row.Strength,
 		}, time.Now())
 	}
@@ -161,32 +161,32 @@
 	return nil
 }
 
-// round greets those whose turn it is.
-func (p *peers) round(ctx context.Context) {
+// gossipRound exchanges gossip with the members that are due.
+func (p *peers) gossipRound(ctx context.Context) {
 	p.mu.Lock()
-	members := p.roll.BeginRound(time.Now())
-	p.tidy()
+	members := p.members.BeginRound(time.Now())
+	p.closeStale()
 	p.mu.Unlock()
 
 	for _, m := range members {
-		go func() { _ = p.greet(ctx, m.ID) }() // Who does not answer is found out by its missing beats.
+		go func() { _ = p.gossip(ctx, m.ID) }() // A peer that does not answer is detected by its missing heartbeats.
 	}
 }
 
-// tidy ends the ways to processes that are no longer listed. The caller holds
-// the lock.
-func (p *peers) tidy() {
-	for id, q := range p.ways {
-		if m, ok := p.roll.Get(id); !ok || m.Process != q.Process {
+// closeStale closes the connections to processes that are not listed. The
+// caller holds the lock.
+func (p *peers) closeStale() {
+	for id, q := range p.connections {
+		if m, ok := p.members.Get(id); !ok || m.Process != q.Process {
 			q.cancel()
 			q.client.Close()
-			delete(p.ways, id)
+			delete(p.connections, id)
 		}
 	}
 }
 
-func (p *peers) greet(ctx context.Context, id instance.ID) error {
-	q := p.of(id)
+func (p *peers) gossip(ctx context.Context, id instance.ID) error {
+	q := p.connection(id)
 	if q == nil {
 		return nil
 	}
@@ -194,10 +194,10 @@
 	return p.exchange(ctx, q.client)
 }
 
-// exchange greets another entry, and asks it for those members of its list that
-// are unknown here.
+// exchange exchanges gossip with another entry, and requests those members of
+// its list that are unknown here.
 func (p *peers) exchange(ctx context.Context, c *news.Client) error {
-	g := p.greeting()
+	g := p.gossipMessage()
 
 	for {
 		got, err := c.Greet(ctx, g)
@@ -205,155 +205,156 @@
 			return err
 		}
 
-		p.take(got)
+		p.applyGossip(got)
 
 		if g.Want != nil || got.Pulses == nil {
 			return nil
 		}
 
-		if g.Want = p.takePulses(got.Pulses); g.Want == nil {
+		if g.Want = p.applyHeartbeats(got.Pulses); g.Want == nil {
 			return nil
 		}
 	}
 }
 
-func (p *peers) takePulses(pulses []membership.ProcessHeartbeat) []uint64 {
+func (p *peers) applyHeartbeats(heartbeats []membership.ProcessHeartbeat) []uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return p.roll.ApplyHeartbeats(pulses, time.Now())
+	return p.members.ApplyHeartbeats(heartbeats, time.Now())
 }
 
-// greeting returns this entry's own greeting.
-func (p *peers) greeting() news.Greeting {
+// gossipMessage returns this entry's own gossip message.
+func (p *peers) gossipMessage() news.Greeting {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return news.Greeting{From: p.roll.Self, Digest: p.roll.Digest()}
+	return news.Greeting{From: p.members.Self, Digest: p.members.Digest()}
 }
 
-// take takes in a greeting or the answer to one. It reports whether the
-// other's list is the same.
-func (p *peers) take(g news.Greeting) bool {
+// applyGossip applies a gossip message or the answer to one. It reports whether
+// the other entry's list is the same.
+func (p *peers) applyGossip(g news.Greeting) bool {
 	now := time.Now()
 
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	p.roll.RecordContact(g.From, now)
+	p.members.RecordContact(g.From, now)
 
 	for _, m := range g.Known {
-		p.roll.Add(m, now)
+		p.members.Add(m, now)
 	}
 
-	return p.roll.ApplyDigest(g.Digest, now)
+	return p.members.ApplyDigest(g.Digest, now)
 }
 
-// answer takes in a greeting and returns what the sender does not know or asks
-// for.
-func (p *peers) answer(g news.Greeting) news.Greeting {
-	same := p.take(g)
+// answerGossip applies a gossip message and returns the members that the sender
+// lacks or requests.
+func (p *peers) answerGossip(g news.Greeting) news.Greeting {
+	same := p.applyGossip(g)
 
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	out := news.Greeting{From: p.roll.Self, Digest: p.roll.Digest(), Known: p.roll.ByHash(g.Want)}
+	out := news.Greeting{From: p.members.Self, Digest: p.members.Digest(), Known: p.members.ByHash(g.Want)}
 	if !same && len(g.Want) == 0 {
-		out.Pulses = p.roll.Heartbeats()
+		out.Pulses = p.members.Heartbeats()
 	}
 
 	return out
 }
 
-// alive returns the peers that were heard lately and are not leaving.
+// alive returns the peers that have recent heartbeats and are not leaving.
 func (p *peers) alive() []membership.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return p.roll.Alive(time.Now())
+	return p.members.Alive(time.Now())
 }
 
-// draw returns the way to one of the peers that are alive, drawn at random, or
-// nil if there is none.
-func (p *peers) draw() *peer {
+// random returns the connection to a random peer that is alive, or nil if there
+// is none.
+func (p *peers) random() *peer {
 	alive := p.alive()
 	if len(alive) == 0 {
 		return nil
 	}
 
-	return p.of(alive[rand.IntN(len(alive))].ID) //nolint:gosec // No secret.
+	return p.connection(alive[rand.IntN(len(alive))].ID) //nolint:gosec // No secret.
 }
 
-// all returns all peers that are listed, alive or not.
+// all returns all listed peers, alive or not.
 func (p *peers) all() []membership.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return p.roll.All()
+	return p.members.All()
 }
 
-// self returns this process as the others see it.
+// self returns this process as a member.
 func (p *peers) self() membership.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return p.roll.Self
+	return p.members.Self
 }
 
-// likely returns the peers that are alive or may be, because nothing was heard
-// of them yet.
-func (p *peers) likely() []membership.Member {
+// aliveOrNew returns the peers that are alive, or may be because they were
+// listed without a heartbeat so far.
+func (p *peers) aliveOrNew() []membership.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return p.roll.AliveOrNew(time.Now())
+	return p.members.AliveOrNew(time.Now())
 }
 
-// listed returns how many peers are known, alive or not.
+// listed returns the number of listed peers, alive or not.
 func (p *peers) listed() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return p.roll.Len()
+	return p.members.Len()
 }
 
-// leave tells the peers that this process is about to end.
-func (p *peers) leave(ctx context.Context) {
+// announceLeaving informs the peers that this process is about to end.
+func (p *peers) announceLeaving(ctx context.Context) {
 	p.mu.Lock()
-	p.roll.Self.Leaving = true
-	all := p.roll.All()
+	p.members.Self.Leaving = true
+	all := p.members.All()
 	p.mu.Unlock()
 
 	var wg sync.WaitGroup
 
-	// These tell the others.
+	// These pass it on to the others.
 	for _, m := range all[:min(len(all), membership.FullMeshLimit)] {
 		wg.Go(func() {
-			// A peer that does not hear it finds out by itself.
-			_ = p.greet(ctx, m.ID)
+			// A peer that misses it detects the end by itself.
+			_ = p.gossip(ctx, m.ID)
 		})
 	}
 
 	wg.Wait()
 }
 
-// of returns the way to a peer, or nil if there is no such entry.
-func (p *peers) of(id instance.ID) *peer {
+// connection returns the connection to a peer, or nil if there is no such
+// entry.
+func (p *peers) connection(id instance.ID) *peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return p.way(id)
+	return p.connect(id)
 }
 
-// way returns the way to a peer's present process, made when it is first
-// needed. The caller holds the lock.
-func (p *peers) way(id instance.ID) *peer {
-	m, ok := p.roll.Get(id)
+// connect returns the connection to a peer's current process, created on first
+// use. The caller holds the lock.
+func (p *peers) connect(id instance.ID) *peer {
+	m, ok := p.members.Get(id)
 	if !ok {
 		return nil
 	}
 
-	old := p.ways[id]
+	old := p.connections[id]
 	if old != nil && old.Process == m.Process {
 		return old
 	}
@@ -363,64 +364,65 @@
 		old.client.Close()
 	}
 
-	ctx, cancel := context.WithCancel(p.node.work)
-	q := &peer{Member: m, kick: make(chan struct{}, 1), cancel: cancel, client: &news.Client{Caller: frame.Caller{Address: m.Address, Count: p.node.traffic.note}}}
+	ctx, cancel := context.WithCancel(p.node.workCtx)
+	q := &peer{Member: m, updatePending: make(chan struct{}, 1), cancel: cancel, client: &news.Client{Caller: frame.Caller{Address: m.Address, Count: p.node.traffic.count}}}
 
-	if p.ways == nil {
-		p.ways = make(map[instance.ID]*peer)
+	if p.connections == nil {
+		p.connections = make(map[instance.ID]*peer)
 	}
 
-	p.ways[id] = q
+	p.connections[id] = q
 
-	go p.tell(ctx, q)
+	go p.sendUpdates(ctx, q)
 
 	return q
 }
 
-// publish tells all peers that this holder has news.
-func (p *peers) publish() {
+// notifyAll triggers an update to every peer.
+func (p *peers) notifyAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	for _, m := range p.roll.All() {
-		poke(p.way(m.ID).kick)
+	for _, m := range p.members.All() {
+		signal(p.connect(m.ID).updatePending)
 	}
 }
 
-// tellPace is the least time between two tellings of one peer for each peer
-// that there is, so that telling all takes the holder at most about a fifth of a
-// core (BenchmarkHear). There is none where everybody is greeted.
-const tellPace = 250 * time.Microsecond
+// sendSpacing, times the number of peers, is the minimum time between two
+// updates to one peer, so that updating all takes the holder at most about a
+// fifth of a core (BenchmarkHear). There is no minimum while all entries gossip
+// with all others.
+const sendSpacing = 250 * time.Microsecond
 
-// tell sends the newest news to the peer, one after the other. Older ones that
-// a slow peer did not take are left out.
-func (p *peers) tell(ctx context.Context, q *peer) {
+// sendUpdates sends the latest snapshot to the peer whenever there is an
+// update. Snapshots that a slow peer misses are skipped.
+func (p *peers) sendUpdates(ctx context.Context, q *peer) {
 	var (
-		has   holder.Version
-		known bool
+		acknowledged    holder.Version
+		anyAcknowledged bool
 	)
 
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-q.kick:
+		case <-q.updatePending:
 		}
 
-		d, holding := p.node.newsSince(has, known)
+		delta, holding := p.node.deltaSince(acknowledged, anyAcknowledged)
 		if !holding {
 			continue
 		}
 
-		got, err := q.client.Hear(ctx, d)
+		got, err := q.client.Hear(ctx, delta)
 		if err != nil {
-			p.node.cfg.Log.Debug().Err(err).Str("peer", string(q.ID)).Msg("peer not told")
-		} else if has, known = got, true; got != d.Version() && d.Base != (holder.Version{}) {
-			poke(q.kick)
+			p.node.cfg.Log.Debug().Err(err).Str("peer", string(q.ID)).Msg("cannot send holder state to peer")
+		} else if acknowledged, anyAcknowledged = got, true; got != delta.Version() && delta.Base != (holder.Version{}) {
+			signal(q.updatePending)
 		}
 
 		if peers := p.listed(); peers > membership.FullMeshLimit {
-			_ = clock.Sleep(ctx, time.Duration(peers)*tellPace)
+			_ = clock.Sleep(ctx, time.Duration(peers)*sendSpacing)
 		}
 	}
 }
--- a/internal/fleet/node/quotas.go
+++ b/internal/fleet/node/quotas.go
@@ -16,47 +16,49 @@
 )
 
 const (
-	// drawAnswers bounds the question whether a request is within its limit: a
-	// lost packet is sent again within it.
-	drawAnswers = 250 * time.Millisecond
-	// mostOfLimit is the part of a limit from which on the refusals of its homes
-	// are final. Below it another home may have room.
-	mostOfLimit = 0.75
+	// consumeTimeout bounds the call that decides whether a request is within
+	// its limit; it leaves time to retransmit a lost packet.
+	consumeTimeout = 250 * time.Millisecond
+	// decisiveCoverage is the fraction of a limit whose owners must have
+	// refused a request for the refusal to be final. Below it another owner may
+	// have credit left.
+	decisiveCoverage = 0.75
 )
 
-// quotas keeps this entry's part in the teams' limits: it lends its shares,
-// decides as a home, and asks homes for its own callers. It implements
-// relay.Limiter.
+// quotas is this entry's part in enforcing the teams' limits: it delegates its
+// shares, decides as an owner, and calls the owners for its own clients. It
+// implements relay.Limiter.
 type quotas struct {
 	node *Node
-	// soon asks for a round of loans at once.
-	soon chan struct{}
-
-	mu     sync.Mutex
-	home   quota.Owner
-	lender quota.Delegator
-	// homes are the present homes of the limits.
-	homes  quota.Owners
-	silent map[instance.ID]silence
+	// roundSoon requests an immediate round of delegations.
+	roundSoon chan struct{}
+
+	mu        sync.Mutex
+	owner     quota.Owner
+	delegator quota.Delegator
+	// owners are the current owners of the limits.
+	owners   quota.Owners
+	failures map[instance.ID]ownerFailures
 	// answered are the entries that have answered since this process started.
 	answered map[instance.ID]bool
-	// returns are what was counted for requests that did not run, by team.
-	returns map[string]float64
+	// refunds is the cost to refund for requests that did not run, by team.
+	refunds map[string]float64
 }
 
-// silence is how an entry did not answer.
-type silence struct {
-	// calls had no answer since it was last passed over, times how often it was.
-	calls, times int
-	until        time.Time
+// ownerFailures records an owner's failures to answer.
+type ownerFailures struct {
+	// consecutive is the number of failed calls since the last success or
+	// exclusion, and exclusions how often the owner was excluded.
+	consecutive, exclusions int
+	excludedUntil           time.Time
 }
 
-func (q *quotas) stamp() quota.Uptime { return quota.Uptime(clock.Now().Sub(q.node.started)) }
+func (q *quotas) uptime() quota.Uptime { return quota.Uptime(clock.Now().Sub(q.node.started)) }
 
-// known returns how many entries share the limits.
-func (q *quotas) known() int {
+// entryCount returns how many entries share the limits.
+func (q *quotas) entryCount() int {
 	if !q.node.peers.scanned.Load() {
-		return sharersUnknown
+		return worstCaseEntries
 	}
 
 	return q.node.peers.listed() + 1
@@ -67,34 +69,35 @@
 }
 
 const (
-	// unknownPatience is for how long a request waits for homes that decide on most
-	// of its team's limit: after a restart of all entries shares are lent within a
-	// term.
-	unknownPatience = 800 * time.Millisecond
-	unknownPause    = 40 * time.Millisecond
+	// undecidedTimeout is how long a request waits for owners that can decide
+	// on most of its team's limit: after a restart of all entries, all shares
+	// are delegated within one quota.Term.
+	undecidedTimeout = 800 * time.Millisecond
+	undecidedPause   = 40 * time.Millisecond
 )
 
-// Charge implements relay.Limiter. It refuses at once what is beyond the limit,
-// and waits a moment only where its homes do not know yet what is left.
+// Charge implements relay.Limiter. It refuses at once what exceeds the limit,
+// and waits briefly only where the owners do not have the state of the limit
+// yet.
 func (q *quotas) Charge(ctx context.Context, t *team.Team, cost float64) relay.ChargeResult {
-	until := time.Now().Add(unknownPatience)
+	until := time.Now().Add(undecidedTimeout)
 
 	for {
-		out, known := q.chargeNow(ctx, t, cost)
-		if known || time.Now().After(until) || clock.Sleep(ctx, max(unknownPause, out.RetryAfter)) != nil {
+		out, final := q.tryCharge(ctx, t, cost)
+		if final || time.Now().After(until) || clock.Sleep(ctx, max(undecidedPause, out.RetryAfter)) != nil {
 			return out
 		}
 	}
 }
 
-// chargeNow puts the request to the homes of its team's limit. It reports whether
-// their answer is final.
-func (q *quotas) chargeNow(ctx context.Context, t *team.Team, cost float64) (out relay.ChargeResult, known bool) {
+// tryCharge submits the request to the owners of its team's limit. It reports
+// whether their decision is final.
+func (q *quotas) tryCharge(ctx context.Context, t *team.Team, cost float64) (out relay.ChargeResult, final bool) {
 	out.Unknown = true
-	settling := false
+	filling := false
 
-	for _, home := range q.candidates(quota.GroupOf(t.Name)) {
-		d, err := q.draw(ctx, home, news.Drawing{Team: t.Name, Cost: cost})
+	for _, owner := range q.ownersToAsk(quota.GroupOf(t.Name)) {
+		d, err := q.consume(ctx, owner, news.Drawing{Team: t.Name, Cost: cost})
 
 		switch {
 		case err != nil || d.Stranger || d.Released || d.Part == 0:
@@ -107,19 +110,19 @@
 
 		out.Unknown = false
 		out.Coverage += d.Part
-		settling = settling || d.Filling
+		filling = filling || d.Filling
 
-		if out.Coverage >= mostOfLimit {
+		if out.Coverage >= decisiveCoverage {
 			break
 		}
 	}
 
-	return out, out.Coverage >= mostOfLimit && !settling
+	return out, out.Coverage >= decisiveCoverage && !filling
 }
 
-// candidates returns whom to ask about a group: first who have this entry's own
-// share, then who should.
-func (q *quotas) candidates(group int) []quota.Process {
+// ownersToAsk returns the owners to ask about a group: first those that hold
+// this entry's own share, then those that should.
+func (q *quotas) ownersToAsk(group int) []quota.Process {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
@@ -127,18 +130,18 @@
 	now := clock.Now()
 
 	for part := range quota.Parts {
-		if bound, ok := q.lender.OwnerOf(quota.SlotOf(group, part), now); ok && !slices.Contains(out, bound) {
-			out = append(out, bound)
+		if owner, ok := q.delegator.OwnerOf(quota.SlotOf(group, part), now); ok && !slices.Contains(out, owner) {
+			out = append(out, owner)
 		}
 	}
 
 	for part := range quota.Parts {
-		if home := q.homes[quota.SlotOf(group, part)]; home.ID != "" && !slices.Contains(out, home) {
-			out = append(out, home)
+		if owner := q.owners[quota.SlotOf(group, part)]; owner.ID != "" && !slices.Contains(out, owner) {
+			out = append(out, owner)
 		}
 	}
 
-	answering := slices.DeleteFunc(slices.Clone(out), func(p quota.Process) bool { return q.passedOver(p.ID, now) })
+	answering := slices.DeleteFunc(slices.Clone(out), func(p quota.Process) bool { return q.excluded(p.ID, now) })
 	if len(answering) > 0 {
 		return answering
 	}
@@ -146,23 +149,23 @@
 	return out
 }
 
-// draw asks a home whether a request may run.
-func (q *quotas) draw(ctx context.Context, home quota.Process, d news.Drawing) (news.Drawn, error) {
-	if home == q.self() {
+// consume asks an owner whether a request may run.
+func (q *quotas) consume(ctx context.Context, owner quota.Process, d news.Drawing) (news.Drawn, error) {
+	if owner == q.self() {
 		return q.decide(d), nil
 	}
 
-	p := q.way(home)
+	p := q.ownerPeer(owner)
 	if p == nil {
 		q.mu.Lock()
 		defer q.mu.Unlock()
 
-		q.ended(home)
+		q.ownerEnded(owner)
 
 		return news.Drawn{Released: true}, nil
 	}
 
-	ctx, cancel := context.WithTimeout(ctx, drawAnswers)
+	ctx, cancel := context.WithTimeout(ctx, consumeTimeout)
 	defer cancel()
 
 	got, err := p.client.Draw(ctx, d)
@@ -172,11 +175,11 @@
 
 	switch {
 	case err != nil && !errors.Is(err, context.Canceled):
-		q.noteFailure(home, err)
-	case err == nil && (got.Released || got.Process != home.Run):
-		q.ended(home)
+		q.recordFailure(owner, err)
+	case err == nil && (got.Released || got.Process != owner.Run):
+		q.ownerEnded(owner)
 	case err == nil:
-		delete(q.silent, home.ID)
+		delete(q.failures, owner.ID)
 	}
 
 	return got, err
@@ -187,16 +190,16 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	if q.returns == nil {
-		q.returns = make(map[string]float64)
+	if q.refunds == nil {
+		q.refunds = make(map[string]float64)
 	}
 
-	q.returns[t.Name] += cost
+	q.refunds[t.Name] += cost
 }
 
-// decide decides as a home.
+// decide decides on a request as an owner.
 func (q *quotas) decide(d news.Drawing) news.Drawn {
-	c, entries := q.node.config(), q.known()
+	c, entries := q.node.config(), q.entryCount()
 	out := news.Drawn{Process: q.node.process, Released: q.node.stopping.Load()}
 
 	if out.Released || c == nil {
@@ -215,26 +218,26 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	out.Decision = q.home.Consume(t.Name, t.Limit, d.Cost, entries, q.stamp())
+	out.Decision = q.owner.Consume(t.Name, t.Limit, d.Cost, entries, q.uptime())
 
 	return out
 }
 
-// takeLoan takes in a loan as a home.
-func (q *quotas) takeLoan(l news.Lending) news.Receipt {
-	c, entries := q.node.config(), q.known()
+// acceptDelegation accepts a delegation as an owner.
+func (q *quotas) acceptDelegation(l news.Lending) news.Receipt {
+	c, entries := q.node.config(), q.entryCount()
 
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	now := q.stamp()
-	out := news.Receipt{Process: q.node.process, Stamp: now, Held: q.home.Delegated(l.Entry, now), Released: q.node.stopping.Load()}
+	now := q.uptime()
+	out := news.Receipt{Process: q.node.process, Stamp: now, Held: q.owner.Delegated(l.Entry, now), Released: q.node.stopping.Load()}
 
 	if out.Released || l.Home != q.node.process {
 		return out
 	}
 
-	q.home.Accept(l.Delegation, entries, now)
+	q.owner.Accept(l.Delegation, entries, now)
 
 	if c == nil {
 		return out
@@ -242,23 +245,23 @@
 
 	for name, amount := range l.Returns {
 		if t := c.Teams.ByName(name); t != nil {
-			q.home.Refund(name, t.Limit, amount, entries, now)
+			q.owner.Refund(name, t.Limit, amount, entries, now)
 		}
 	}
 
 	return out
 }
 
-// release gives back all loans, before this process ends.
+// release releases all shares delegated to this entry before its process ends.
 func (q *quotas) release() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	q.home.Release(q.stamp())
+	q.owner.Release(q.uptime())
 }
 
 // Lend implements news.Handler.
-func (n *Node) Lend(l news.Lending) news.Receipt { return n.quotas.takeLoan(l) }
+func (n *Node) Lend(l news.Lending) news.Receipt { return n.quotas.acceptDelegation(l) }
 
 // Draw implements news.Handler.
 func (n *Node) Draw(d news.Drawing) news.Drawn { return n.quotas.decide(d) }
--- a/internal/fleet/node/routing_test.go
+++ b/internal/fleet/node/routing_test.go
@@ -20,25 +20,27 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/router"
 )
 
-// knowing returns an entry that knows engines and a holder's news of them.
-func knowing(engines int) *Node {
+// nodeWithEngines returns an entry that has engines and a holder's snapshot of
+// them.
+func nodeWithEngines(engines int) *Node {
 	n := New(Config{Self: "self", Entries: 1, Log: zerolog.New(io.Discard)})
 	n.routes.Store(route.NewTable(&route.Config{Version: 1, Services: map[string]route.Service{"s": {Name: "s", Engine: &route.Engine{Slots: 12}}}}))
 
-	n.known = make(map[instance.ID]inventory.Target)
-	n.heard = time.Now()
+	n.targetsByID = make(map[instance.ID]inventory.Target)
+	n.holderReceived = time.Now()
 
 	for i := range engines {
 		id := instance.ID(fmt.Sprintf("t%03d", i))
-		n.known[id] = inventory.Target{ID: id, Service: "s", Slots: 12, StartedMs: 1, Address: netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(1+i))}
-		n.news.Engines = append(n.news.Engines, station(id, i))
+		n.targetsByID[id] = inventory.Target{ID: id, Service: "s", Slots: 12, StartedMs: 1, Address: netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(1+i))}
+		n.holderState.Engines = append(n.holderState.Engines, engineState(id, i))
 	}
 
 	return n
 }
 
-// station holds four models of a few hundred, one of them with adapters.
-func station(id instance.ID, i int) holder.EngineState {
+// engineState returns an engine with four of a few hundred models, some with
+// adapters.
+func engineState(id instance.ID, i int) holder.EngineState {
 	s := holder.EngineState{Target: id, Born: 1, Running: i % 7}
 
 	for k := range 4 {
@@ -53,62 +55,62 @@
 	return s
 }
 
-// BenchmarkRebuild is one load on one of 152 engines, as it reaches each of 91
-// entries up to 45 times a second. Whole snapshots took 3.6 ms, 3.0 MB and
-// 24,600 allocations each; changes take 0.7 ms, 0.4 MB and 1,700.
+// BenchmarkRebuild rebuilds after one load on one of 152 engines, which happens
+// on each of 91 entries up to 45 times a second. Whole snapshots took 3.6 ms,
+// 3.0 MB and 24,600 allocations each; deltas take 0.7 ms, 0.4 MB and 1,700.
 func BenchmarkRebuild(b *testing.B) {
-	n := knowing(152)
+	n := nodeWithEngines(152)
 	n.rebuild(time.Now())
 
 	for i := 0; b.Loop(); i++ {
-		n.news.Engines[i%152].Resident[0].Model = fmt.Sprintf("m%d", i%431)
+		n.holderState.Engines[i%152].Resident[0].Model = fmt.Sprintf("m%d", i%431)
 		n.rebuild(time.Now())
 	}
 }
 
-// TestRebuildsAgree: routing is built from what changed since the last time.
-// Whatever came and went meanwhile, it must be what a new entry would build
-// from the same knowledge.
+// TestRebuildsAgree checks routing that is built from the changes since the
+// last build. After any sequence of changes it must equal what a new entry
+// builds from the same state.
 func TestRebuildsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const engines = 5
 
-		n, now := knowing(engines), time.Now()
+		n, now := nodeWithEngines(engines), time.Now()
 
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
 			i := rapid.IntRange(0, engines-1).Draw(t, "engine")
 			id := instance.ID(fmt.Sprintf("t%03d", i))
-			s := &n.news.Engines[i]
+			s := &n.holderState.Engines[i]
 
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				s.Resident = s.Resident[:len(s.Resident)/2]
 			case 1:
-				*s = station(id, rapid.IntRange(0, 9).Draw(t, "models"))
+				*s = engineState(id, rapid.IntRange(0, 9).Draw(t, "models"))
 			case 2:
 				s.Resident = append(s.Resident, holder.ResidentModel{Model: "late", Ready: now.Add(time.Second)})
 			case 3:
-				delete(n.known, id)
+				delete(n.targetsByID, id)
 			case 4:
-				n.known[id] = inventory.Target{ID: id, Service: "s", Slots: 12, StartedMs: 2, Address: netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(100+i))}
+				n.targetsByID[id] = inventory.Target{ID: id, Service: "s", Slots: 12, StartedMs: 2, Address: netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(100+i))}
 			case 5:
-				n.heard = now
+				n.holderReceived = now
 			}
 
 			n.rebuild(now)
 		}
 
-		fresh := knowing(engines)
-		fresh.known, fresh.news, fresh.heard = n.known, n.news, n.heard
+		fresh := nodeWithEngines(engines)
+		fresh.targetsByID, fresh.holderState, fresh.holderReceived = n.targetsByID, n.holderState, n.holderReceived
 		fresh.rebuild(now)
 
-		assert.DeepEqual(t, replicas(&n.targets), replicas(&fresh.targets))
-		assert.Equal(t, len(n.targets.All()), len(fresh.targets.All()))
+		assert.DeepEqual(t, replicas(&n.routing), replicas(&fresh.routing))
+		assert.Equal(t, len(n.routing.All()), len(fresh.routing.All()))
 	})
 }
 
-// replicas returns which targets a table has for each model.
+// replicas returns the targets that a table has for each model.
 func replicas(t *router.Table) map[string][]string {
 	out := make(map[string][]string)
 
--- a/internal/fleet/node/traffic.go
+++ b/internal/fleet/node/traffic.go
@@ -8,8 +8,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// counts sums what happened since the process started, by kind. The zero value
-// has counted nothing.
+// counts sums events by kind since the process started. The zero value is ready
+// to use.
 type counts struct {
 	mu   sync.Mutex
 	sums map[string]int
@@ -26,22 +26,22 @@
 	c.sums[kind] += n
 }
 
-func (c *counts) counted() map[string]int {
+func (c *counts) totals() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
 	return maps.Clone(c.sums)
 }
 
-// traffic counts the bytes of calls to other entries, with their answers, by
-// what they are for. Set metrics before use.
+// traffic counts the bytes of calls to other entries and of their responses, by
+// kind of call. Set metrics before use.
 type traffic struct {
 	counts
 
 	metrics tally.Scope
 }
 
-func (t *traffic) note(method string, bytes int) {
+func (t *traffic) count(method string, bytes int) {
 	_, kind, _ := strings.Cut(method, ".")
 	kind = strings.ToLower(kind)
 
--- a/internal/fleet/node/watch.go
+++ b/internal/fleet/node/watch.go
@@ -12,60 +12,60 @@
 )
 
 const (
-	// configWait is how long one call of an entry on its own waits for a
-	// configuration. A change must be in force within 2 s, also when the
-	// connection has gone silent. The holder's calls are short, since all rest
-	// on them.
+	// configWait is how long one call waits for a configuration change when no
+	// other entry announces changes. A change must be in force within 2 s, also
+	// when the connection has stalled. The holder's calls are shorter, since
+	// all entries depend on them.
 	configWait        = 1200 * time.Millisecond
 	configWaitHolding = 500 * time.Millisecond
-	// targetsPause is the time between two looks at the list of targets of an
-	// entry on its own. A leaving target must get nothing after 2 s, and each
-	// look costs a call.
-	targetsPause        = 600 * time.Millisecond
-	targetsPauseHolding = 450 * time.Millisecond
-	// pauseLed is the time between two looks of an entry that the holder tells
-	// of changes.
-	pauseLed = 15 * time.Second
-	// targetsPauseTold is the time before a look when the holder tells of changes
-	// and does not answer for them: at a site's start all targets
-	// register within seconds, and all entries would look at each.
-	targetsPauseTold = 400 * time.Millisecond
-	// turnCheck is how often an entry looks whether the holder still tells of
-	// changes.
-	turnCheck = 200 * time.Millisecond
-	// holderKnows is how old the holder's knowledge of the store may be for the
-	// others to rest on it: its looks are half a second apart and its news 0.4 s,
-	// and with a look of their own the others are still within 2 s.
-	holderKnows = 1300 * time.Millisecond
-	// failurePause is the time between two calls to a store that fails, doubled
-	// each time up to failureMost: entries have seconds after its return, and the
-	// calls of many cost more than they find out.
-	failurePause = 250 * time.Millisecond
-	failureMost  = time.Second
+	// targetsInterval is the time between two reads of the list of targets when
+	// no other entry announces changes. A leaving target must get no requests
+	// after 2 s, and each read costs a call.
+	targetsInterval        = 600 * time.Millisecond
+	targetsIntervalHolding = 450 * time.Millisecond
+	// ledInterval is the time between two reads of an entry to which the holder
+	// announces changes.
+	ledInterval = 15 * time.Second
+	// targetsReadDelay is the time before a read of the list that the holder
+	// has announced but does not provide: when a site starts, all targets
+	// register within seconds, and all entries would read the list after each.
+	targetsReadDelay = 400 * time.Millisecond
+	// pollTick is how often an entry checks whether a read of the store is due.
+	pollTick = 200 * time.Millisecond
+	// maxHolderStoreAge is how long ago the holder may have last read the store
+	// for the other entries to rely on it: its reads are half a second apart
+	// and its announcements 0.4 s, and with a read of their own the others
+	// still notice a change within 2 s.
+	maxHolderStoreAge = 1300 * time.Millisecond
+	// minBackoff is the time between two calls to a failing store, doubled each
+	// time up to maxBackoff: entries may take seconds to notice its return, and
+	// frequent calls of many entries cost more than they find out.
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = time.Second
 )
 
 var (
-	configPauses  = pauses{holding: configWaitHolding, led: pauseLed, alone: configWait, polls: true}
-	targetsPauses = pauses{holding: targetsPauseHolding, led: pauseLed, alone: targetsPause}
+	configPolling  = polling{holding: configWaitHolding, led: ledInterval, alone: configWait, longPoll: true}
+	targetsPolling = polling{holding: targetsIntervalHolding, led: ledInterval, alone: targetsInterval}
 )
 
-// watchConfig keeps the configuration in force up to date.
+// watchConfig keeps the configuration up to date.
 func (n *Node) watchConfig(ctx context.Context) {
 	var (
-		after uint64
-		link  link
+		after  uint64
+		status storeStatus
 	)
 
 	for ctx.Err() == nil {
-		n.askingConfig.Store(true)
-		c, version, err := n.nextConfig(ctx, after)
-		n.askingConfig.Store(false)
-		link.note(n, "configuration", err)
-		n.lostConfig.Store(link.lost)
+		n.readingConfig.Store(true)
+		c, version, err := n.readConfig(ctx, after)
+		n.readingConfig.Store(false)
+		status.record(n, "configuration", err)
+		n.configReadsFail.Store(status.lost)
 
 		if err != nil {
-			after = restart(err, after)
-			n.rest(ctx, &link, err, configPauses, n.configBehind, n.catchUpConfig)
+			after = resumeVersion(err, after)
+			n.backOff(ctx, &status, err, configPolling, n.refreshConfig, n.fetchConfig)
 
 			continue
 		}
@@ -73,78 +73,79 @@
 		after = version
 
 		n.mu.Lock()
-		n.lookedConfig, n.configRead = time.Now(), version
+		n.configAsOf, n.configReadVersion = time.Now(), version
 		n.mu.Unlock()
 
 		if c != nil {
-			n.putInForce(c)
+			n.activateConfig(c)
 		} else {
-			// Nothing changed, or nothing was ever written.
-			_ = clock.Sleep(ctx, jitter(failurePause)/10) //nolint:mnd // Only so that an empty store is not asked in a loop.
+			// Nothing changed, or no configuration was ever written.
+			_ = clock.Sleep(ctx, jitter(minBackoff)/10) //nolint:mnd // Avoids a busy loop on an empty store.
 		}
 
-		n.turn(ctx, configPauses, n.configBehind, n.catchUpConfig)
+		n.waitForNextRead(ctx, configPolling, n.refreshConfig, n.fetchConfig)
 	}
 }
 
-// rest waits after a call that failed. Where there are many entries it is the
-// others who find out that the store is back.
-func (n *Node) rest(ctx context.Context, l *link, err error, p pauses, behind <-chan struct{}, catchUp func(context.Context) bool) {
-	_ = clock.Sleep(ctx, l.pause()) // The loop's owner looks at ctx.
+// backOff waits after a failed call. Where there are many entries, it also
+// waits for the next regular read, as the other entries detect the store's
+// return.
+func (n *Node) backOff(ctx context.Context, status *storeStatus, err error, p polling, refresh <-chan struct{}, fetch func(context.Context) bool) {
+	_ = clock.Sleep(ctx, status.backoff()) // The caller's loop checks ctx.
 
 	var gone *inventory.HistoryGoneError
-	if !errors.As(err, &gone) && n.standing().entries > lookers {
-		n.turn(ctx, p, behind, catchUp)
+	if !errors.As(err, &gone) && n.pollState().entries > fullRateEntries {
+		n.waitForNextRead(ctx, p, refresh, fetch)
 	}
 }
 
-func (n *Node) nextConfig(ctx context.Context, after uint64) (*route.Config, uint64, error) {
-	s := n.standing()
-	n.noteLook(callConfig, s, after)
+func (n *Node) readConfig(ctx context.Context, after uint64) (*route.Config, uint64, error) {
+	s := n.pollState()
+	n.countRead(callConfig, s, after)
 
 	switch {
 	case after == 0:
 		return n.cfg.Source.Configuration(ctx)
 	case s.holding:
 		return n.cfg.Source.ConfigurationAfter(ctx, after, configWaitHolding)
-	case s.led || s.entries > lookers:
+	case s.led || s.entries > fullRateEntries:
 		return n.cfg.Source.ConfigurationAfter(ctx, after, 0)
 	}
 
 	return n.cfg.Source.ConfigurationAfter(ctx, after, configWait)
 }
 
-// led reports whether another entry holds the lease and knows what stands in
-// the store, so that it tells of what changes there.
+// led reports whether another entry holds the lease and reads the store, so
+// that it announces changes.
 //
-// It guards against a holder that the store no longer serves while it serves
-// this entry: a change that the operators were told is in force would be hidden
-// until the holder's calls had timed out.
+// It guards against a holder that the store does not answer while it answers
+// this entry: a change that was reported to the operators as in force would
+// stay unnoticed until the holder's calls had timed out.
 func (n *Node) led() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	return n.news.Holder != n.cfg.Self && !n.heard.IsZero() && n.news.StoreAge+time.Since(n.heard) < holderKnows
+	return n.holderState.Holder != n.cfg.Self && !n.holderReceived.IsZero() && n.holderState.StoreAge+time.Since(n.holderReceived) < maxHolderStoreAge
 }
 
-// catchUpTargets learns the newest list from the holder. It reports false
-// when the store must be asked.
-func (n *Node) catchUpTargets(ctx context.Context) bool {
-	if n.askHolder(ctx) {
+// fetchTargets fetches the newest list from the holder. It reports false when
+// the store must be read.
+func (n *Node) fetchTargets(ctx context.Context) bool {
+	if n.fetchListFromHolder(ctx) {
 		return true
 	}
 
-	_ = clock.Sleep(ctx, jitter(targetsPauseTold)) // The loop's owner looks at ctx.
+	_ = clock.Sleep(ctx, jitter(targetsReadDelay)) // The caller's loop checks ctx.
 
 	return false
 }
 
-// putInForce takes a configuration in, unless it is older than the one in
-// force.
+// activateConfig puts a configuration in force, unless it is older than the
+// current one.
 //
-// It guards against answers that overtake each other and against a whole read
-// after lost history: a version must never go back within a process.
-func (n *Node) putInForce(c *route.Config) {
+// It guards against answers that arrive out of order and against a full read
+// after lost history: the version must never decrease within a process.
+func (n *Node) activateConfig(c *route.Config) {
 	if old := n.config(); old != nil && old.Version >= c.Version {
 		return
 	}
@@ -156,48 +157,48 @@
 		n.cfg.Log.Warn().Err(err).Uint64("version", c.Version).Msg("limit below one request")
 	}
 
-	poke(n.changed)
-	poke(n.quotas.soon)
+	signal(n.routingChanged)
+	signal(n.quotas.roundSoon)
 	n.holder.Announce()
 }
 
 // watchTargets keeps the list of targets up to date.
 func (n *Node) watchTargets(ctx context.Context) {
 	var (
-		after uint64
-		link  link
+		after  uint64
+		status storeStatus
 	)
 
 	for ctx.Err() == nil {
-		n.askingTargets.Store(true)
-		changes, version, err := n.nextTargets(ctx, after)
-		n.askingTargets.Store(false)
-		link.note(n, "targets", err)
-		n.lostTargets.Store(link.lost)
+		n.readingTargets.Store(true)
+		changes, version, err := n.readTargets(ctx, after)
+		n.readingTargets.Store(false)
+		status.record(n, "targets", err)
+		n.targetReadsFail.Store(status.lost)
 
 		if err != nil {
-			n.noteFailure(err)
+			n.recordStoreFailure(err)
 
-			after = restart(err, after)
-			n.rest(ctx, &link, err, targetsPauses, n.listBehind, n.catchUpTargets)
+			after = resumeVersion(err, after)
+			n.backOff(ctx, &status, err, targetsPolling, n.refreshList, n.fetchTargets)
 
 			continue
 		}
 
-		// A peer may have told of a newer list meanwhile.
-		if n.takeTargets(changes, after == 0, version) {
+		// A peer may have sent a newer list meanwhile.
+		if n.applyTargets(changes, after == 0, version) {
 			after = version
 		} else {
 			after = 0
 		}
 
-		n.turn(ctx, targetsPauses, n.listBehind, n.catchUpTargets)
+		n.waitForNextRead(ctx, targetsPolling, n.refreshList, n.fetchTargets)
 	}
 }
 
-// noteFailure records that the store did not answer, which lost history does
-// not mean.
-func (n *Node) noteFailure(err error) {
+// recordStoreFailure records that the store did not answer. Lost history is an
+// answer.
+func (n *Node) recordStoreFailure(err error) {
 	var gone *inventory.HistoryGoneError
 	if errors.As(err, &gone) {
 		return
@@ -206,11 +207,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	n.book.StoreFailed(time.Now())
+	n.registry.StoreFailed(time.Now())
 }
 
-func (n *Node) nextTargets(ctx context.Context, after uint64) ([]inventory.Change, uint64, error) {
-	n.noteLook(callTargets, n.standing(), after)
+func (n *Node) readTargets(ctx context.Context, after uint64) ([]inventory.Change, uint64, error) {
+	n.countRead(callTargets, n.pollState(), after)
 
 	if after == 0 {
 		return n.cfg.Source.Targets(ctx)
@@ -219,9 +220,9 @@
 	return n.cfg.Source.TargetsAfter(ctx, after, 0)
 }
 
-// restart returns from which version to go on after an error: from the
-// beginning when changes were lost.
-func restart(err error, after uint64) uint64 {
+// resumeVersion returns the version from which to continue after an error:
+// zero, to read everything again, when history was lost.
+func resumeVersion(err error, after uint64) uint64 {
 	var gone *inventory.HistoryGoneError
 	if errors.As(err, &gone) {
 		return 0
@@ -230,23 +231,23 @@
 	return after
 }
 
-// takeTargets takes in what the store says of the targets as of a version. It
-// reports false, and changes nothing, when a newer list is known.
-func (n *Node) takeTargets(changes []inventory.Change, whole bool, version uint64) bool {
+// applyTargets applies what the store returned about targets at a version. It
+// reports false, and changes nothing, when a newer list was already applied.
+func (n *Node) applyTargets(changes []inventory.Change, whole bool, version uint64) bool {
 	now := time.Now()
 
 	n.mu.Lock()
-	n.book.StoreAnswered(now)
+	n.registry.StoreAnswered(now)
 
-	if version < n.list {
+	if version < n.listVersion {
 		n.mu.Unlock()
 
 		return false
 	}
 
-	n.list, n.lookedTargets = version, now
-	if n.changesUse(changes, whole) {
-		n.usable = version
+	n.listVersion, n.targetsAsOf = version, now
+	if n.changesUsable(changes, whole) {
+		n.usableVersion = version
 	}
 
 	n.apply(changes, whole, now)
@@ -258,22 +259,22 @@
 	}
 
 	if len(changes) > 0 || whole {
-		poke(n.changed)
+		signal(n.routingChanged)
 		n.holder.Announce()
 	}
 
 	return true
 }
 
-// changesUse reports whether changes of the list change which targets may be
-// used, and not only what they hold. The caller holds the lock.
-func (n *Node) changesUse(changes []inventory.Change, whole bool) bool {
+// changesUsable reports whether changes of the list affect which targets may be
+// used, and not only which models are on them. The caller holds the lock.
+func (n *Node) changesUsable(changes []inventory.Change, whole bool) bool {
 	if whole {
 		return true
 	}
 
 	for _, c := range changes {
-		old, known := n.known[c.ID]
+		old, known := n.targetsByID[c.ID]
 		if c.Removed || c.Err != nil || !known || old.Leaving != c.Target.Leaving || old.StartedMs != c.Target.StartedMs || old.Address != c.Target.Address {
 			return true
 		}
@@ -285,7 +286,7 @@
 func (n *Node) logChange(c inventory.Change) {
 	switch {
 	case c.Err != nil:
-		n.cfg.Log.Warn().Err(c.Err).Str("target", string(c.ID)).Msg("row of the list names no target")
+		n.cfg.Log.Warn().Err(c.Err).Str("target", string(c.ID)).Msg("invalid row in the list of targets")
 	case c.Removed:
 		n.cfg.Log.Info().Str("target", string(c.ID)).Msg("target gone from the list")
 	case c.Target.Leaving:
@@ -297,40 +298,40 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	return n.known
+	return n.targetsByID
 }
 
-// link tells once when a dependency is lost and once when it is back.
-type link struct {
+// storeStatus logs once when the store is lost and once when it is back.
+type storeStatus struct {
 	lost  bool
 	since time.Time
-	// failed counts the calls without an answer since the last one with.
+	// failed is the number of consecutive failed calls.
 	failed int
 }
 
-// pause returns how long to wait after a failure.
-func (l *link) pause() time.Duration {
-	return jitter(min(failurePause<<min(max(0, l.failed-1), 2), failureMost)) //nolint:mnd // Doubled twice.
+// backoff returns how long to wait after a failure.
+func (s *storeStatus) backoff() time.Duration {
+	return jitter(min(minBackoff<<min(max(0, s.failed-1), 2), maxBackoff)) //nolint:mnd // Doubled twice.
 }
 
-func (l *link) note(n *Node, what string, err error) {
+func (s *storeStatus) record(n *Node, subject string, err error) {
 	var gone *inventory.HistoryGoneError
 
-	l.failed++
+	s.failed++
 	if err == nil || errors.As(err, &gone) {
-		l.failed = 0
+		s.failed = 0
 	}
 
 	switch {
-	case err == nil && l.lost:
-		n.cfg.Log.Info().Str("what", what).Dur("away", time.Since(l.since)).Msg("store regained")
+	case err == nil && s.lost:
+		n.cfg.Log.Info().Str("what", subject).Dur("away", time.Since(s.since)).Msg("store regained")
 
-		l.lost = false
+		s.lost = false
 	case errors.As(err, &gone):
-		n.cfg.Log.Warn().Err(err).Str("what", what).Msg("history gone, reading the whole")
-	case err != nil && !l.lost && !errors.Is(err, context.Canceled):
-		n.cfg.Log.Warn().Err(err).Str("what", what).Msg("store lost")
+		n.cfg.Log.Warn().Err(err).Str("what", subject).Msg("store history lost, reading everything")
+	case err != nil && !s.lost && !errors.Is(err, context.Canceled):
+		n.cfg.Log.Warn().Err(err).Str("what", subject).Msg("store lost")
 
-		l.lost, l.since = true, time.Now()
+		s.lost, s.since = true, time.Now()
 	}
 }
