--- a/internal/serving/gateway/counts.go
+++ b/internal/serving/gateway/counts.go
@@ -44,8 +44,9 @@
 	n.(*atomic.Int64).Add(1) //nolint:forcetypeassert // The map holds nothing else.
 }
 
-// snapshot returns the totals of each plan, with the numbers of its running and
-// queued requests.
+// snapshot returns the totals of each plan that has an answer or a refusal, with
+// the numbers of its unanswered requests (Running, queued ones included) and of
+// its queued requests.
 func (t *planTotals) snapshot(shares *limit.Shares, waiting map[string]int) []peer.PlanCount {
 	var out []peer.PlanCount
 
--- a/internal/serving/gateway/gateway.go
+++ b/internal/serving/gateway/gateway.go
@@ -52,8 +52,8 @@
 	mux    *http.ServeMux
 	totals planTotals
 	// admitted maps an id to the *admittedRequest of each request that has not
-	// been answered yet: the engine id of a request for a model, a random id
-	// for a service call.
+	// been answered yet. The id is Request.EngineID for a request for a model,
+	// and random for a service call.
 	admitted    sync.Map
 	targetLoads targetLoads
 }
@@ -85,18 +85,19 @@
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) { g.mux.ServeHTTP(w, r) }
 
-// Counts returns the counts of each plan: answers, tokens and refusals, and the
-// requests that run or are queued now.
+// Counts returns the counts of each plan that has an answer or a refusal: answers,
+// tokens and refusals, the requests that are not answered yet, and those of them
+// that are queued.
 func (g *Gateway) Counts() []peer.PlanCount {
 	return g.totals.snapshot(g.cfg.Shares, g.cfg.Dispatch.QueuedByPlan())
 }
 
 const (
-	requestIDHeader = "X-Request-Id"
-	timeoutHeader   = "Request-Timeout-Ms"
-	keyHeader       = "Idempotency-Key"
-	maxIDLen        = 128
-	maxTimeout      = 10 * time.Minute
+	requestIDHeader      = "X-Request-Id"
+	timeoutHeader        = "Request-Timeout-Ms"
+	idempotencyKeyHeader = "Idempotency-Key"
+	maxIDLen             = 128
+	maxTimeout           = 10 * time.Minute
 )
 
 // clientRequest is a client's HTTP request, for a model or a service, while the
@@ -227,8 +228,9 @@
 	return ok
 }
 
-// track registers an admitted request, so that a change of the lists can cancel
-// the returned context. The returned function ends that.
+// track registers an admitted request, so that EnforceLists can cancel the
+// returned context. The returned function unregisters the request and cancels the
+// context.
 func (g *Gateway) track(c *clientRequest, id, model string) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(c.r.Context())
 	g.admitted.Store(id, &admittedRequest{plan: c.plan, model: model, cancel: cancel})
--- a/internal/serving/gateway/service.go
+++ b/internal/serving/gateway/service.go
@@ -31,8 +31,8 @@
 	return n.(*atomic.Int64) //nolint:forcetypeassert // The map holds nothing else.
 }
 
-// choose picks two targets at random and returns the one with fewer calls in
-// flight.
+// choose picks two targets at random, which may be the same, and returns the one
+// with fewer calls in flight.
 func (l *targetLoads) choose(targets []instance.Instance) instance.Instance {
 	a := targets[rand.IntN(len(targets))] //nolint:gosec // Not a secret.
 	b := targets[rand.IntN(len(targets))] //nolint:gosec // Not a secret.
@@ -71,9 +71,9 @@
 		return
 	}
 
-	key := r.Header.Get(keyHeader)
+	key := r.Header.Get(idempotencyKeyHeader)
 	if key == "" && !retryable(r.Method) {
-		g.refuse(c, request.Refuse(request.KeyMissing, 0, "a call that may not be repeated needs the header "+keyHeader))
+		g.refuse(c, request.Refuse(request.KeyMissing, 0, "a call that may not be repeated needs the header "+idempotencyKeyHeader))
 
 		return
 	}
@@ -98,8 +98,8 @@
 	}
 }
 
-// retryable reports whether a call with this method may be retried. These are
-// methods that HTTP defines as safe.
+// retryable reports whether a call with this method may be retried: GET, HEAD and
+// OPTIONS, which HTTP defines as safe.
 func retryable(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
@@ -133,8 +133,8 @@
 	g.refuse(s.clientRequest, s.refusal(ctx, lastErr))
 }
 
-// refusal returns the refusal of the call for err. It states whether the call ran
-// only as far as the attempts prove it.
+// refusal returns the refusal of the call for err. It states that the call ran, or
+// that it did not, only if the attempts prove it.
 func (s *serviceCall) refusal(ctx context.Context, err error) *request.Refusal {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return s.attemptLog.Refuse(request.DeadlinePassed, time.Second, "the service did not answer in time")
@@ -194,7 +194,7 @@
 
 	// This entry sent nothing for this call: either its claim was not
 	// confirmed, or the key is already claimed and its claim or stored answer
-	// cannot be read.
+	// cannot be read. The message says "written" in each of these cases.
 	g.refuse(s.clientRequest, request.Refuse(request.StoreDown, time.Second, "the claim cannot be written: "+err.Error()))
 }
 
@@ -214,14 +214,15 @@
 	return clock.Sleep(ctx, base<<min(polls, maxDoublings)) == nil
 }
 
-// storeTimeout limits how long recording the outcome of a call in the store is
-// retried: its answer, the withdrawal of its claim, or that it is in doubt. The
-// client may have been answered by then.
+// storeTimeout limits how long the entry retries to record the outcome of a call
+// in the store. The outcome is the call's answer, the withdrawal of its claim, or
+// that it is in doubt. The client may be answered before the outcome is recorded.
+// A withdrawal ends earlier (see storeWait).
 const storeTimeout = 2 * time.Minute
 
-// sendOnce sends a claimed call. If the chosen target was not reached, it chooses
-// again, up to maxServiceAttempts times; once the first byte was sent, it never
-// sends the call again.
+// sendOnce sends a claimed call. If no target is live or the chosen one was not
+// reached, it chooses again, up to maxServiceAttempts times in all; once sending
+// has begun, it never sends the call again.
 func (g *Gateway) sendOnce(ctx context.Context, s *serviceCall, c *claim.Claim) {
 	g.cfg.Log.Add(timeline.Event{Kind: timeline.Claimed, Request: s.id, Customer: s.plan.Customer, Detail: s.service})
 
@@ -269,7 +270,7 @@
 }
 
 // withdraw withdraws a claim. If that takes longer than storeWait, withdraw
-// returns nil and the withdrawal continues in the background.
+// returns nil and the withdrawal continues until ctx ends.
 func (g *Gateway) withdraw(ctx context.Context, c *claim.Claim) error {
 	done := make(chan error, 1)
 
@@ -285,8 +286,9 @@
 
 // storeWait is how long a client waits while its answer is stored or its claim is
 // withdrawn. If the store is unavailable for longer, the client gets its answer
-// and the write continues. A retry that comes before the write is done waits, or
-// is refused because the call may have run.
+// and the write of the answer continues; a withdrawal is cancelled once the
+// refusal is written. A retry that comes before the write is done waits, or is
+// refused because the call may have run.
 const storeWait = 500 * time.Millisecond
 
 // storeThenWrite stores the answer, waits up to storeWait for that, and writes
@@ -337,8 +339,8 @@
 //
 // A reused connection could fail in two ways. The other end may close it just as
 // the call is sent, and the HTTP library, which retries only on reused
-// connections, would then send the call a second time. It may also have broken
-// without a reset. Neither can happen on a connection that was just established.
+// connections, would then send the call a second time. The connection may also
+// have broken while idle, without a reset. Neither can happen on a connection that was just established.
 func (g *Gateway) send(ctx context.Context, s *serviceCall) (claim.Answer, error) {
 	targets := g.liveTargets(s.service)
 	if len(targets) == 0 {
@@ -424,7 +426,7 @@
 
 // copyHeaders copies the headers that are meant for the service.
 func copyHeaders(to, from http.Header) {
-	for _, name := range []string{"Content-Type", "Accept", keyHeader} {
+	for _, name := range []string{"Content-Type", "Accept", idempotencyKeyHeader} {
 		if v := from.Get(name); v != "" {
 			to.Set(name, v)
 		}
--- a/internal/serving/relay/budget.go
+++ b/internal/serving/relay/budget.go
@@ -89,7 +89,7 @@
 // halfBurst is half of this entry's share of the burst: the capacity of a bucket
 // (but at least one token, see capacity) and the amount that refills it in each
 // window. A full bucket and its refill together give at most the whole share in
-// any window.
+// any window, unless half of the share is less than one token.
 func (b *RetryBudgets) halfBurst() float64 { return b.Limit.Burst * usableFraction * b.entryShare / 2 } //nolint:mnd // Half of the share.
 
 // capacity is the most that a bucket holds: at least one token, since a smaller
--- a/internal/serving/relay/budget_test.go
+++ b/internal/serving/relay/budget_test.go
@@ -12,8 +12,8 @@
 // within the operators' limit in every window, when targets fail in large
 // numbers and every entry retries as much as its budget allows. Entries also
 // crash and restart meanwhile, and start with empty budgets then: with full
-// budgets, 83 entries that restarted at once made 684 retries in a window that
-// allowed 649.
+// budgets, 83 entries that restart at once could make 684 retries in a window
+// whose limit is 649.
 func TestBudgetsKeepTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
--- a/internal/serving/relay/client_test.go
+++ b/internal/serving/relay/client_test.go
@@ -50,7 +50,9 @@
 
 	_, err = fmt.Fprint(c, "POST /p/ HT")
 	assert.NilError(t, err)
-	time.Sleep(50 * time.Millisecond) // The server must read these bytes before it could notice the close.
+	// The server must have read these bytes before the client closes; otherwise
+	// it would notice the close.
+	time.Sleep(50 * time.Millisecond)
 	assert.NilError(t, c.Close())
 
 	select {
--- a/internal/serving/relay/conn.go
+++ b/internal/serving/relay/conn.go
@@ -115,9 +115,11 @@
 	return c
 }
 
-// put returns a connection to the pool after the answer on it was read
-// completely. timeout is how long the target keeps an idle connection open, or
-// zero if that is unknown.
+// put returns an unused connection, or one whose answer was read completely, to
+// the pool. It closes the connection instead if bytes beyond the answer are
+// buffered, if the target would close it within idleMargin, or if the pool has
+// maxIdleConns for the target. timeout is how long the target keeps an idle
+// connection open, or zero if that is unknown.
 func (p *Pool) put(c *conn, timeout time.Duration) {
 	c.idleSince, c.idleTimeout = time.Now(), maxIdleTime
 	if timeout > 0 {
@@ -164,7 +166,8 @@
 
 // usable reports whether an idle connection can carry another request: it has not
 // been idle for too long, was not closed by the target, and has received no
-// bytes, since those would be taken for the answer to the next request.
+// bytes, since those would be taken for the answer to the next request. Only the
+// idle time is checked if the connection is not a syscall.Conn.
 func (c *conn) usable(now time.Time) bool {
 	if now.Sub(c.idleSince) >= c.idleTimeout {
 		return false
--- a/internal/serving/relay/deliver.go
+++ b/internal/serving/relay/deliver.go
@@ -24,11 +24,12 @@
 	maxAttempts = 8
 	// rejectionBackoff is the pause after a target reported that it did not run
 	// a request. It doubles with each attempt, to at most 8 times the base. A
-	// target may reject a request because a load ends later than predicted;
-	// such a load is 100 to 200 ms late, which the first pauses (60, 120 and
-	// 240 ms) outlast together.
+	// target may reject a request because a load ends later than predicted.
+	// Such a load ends 100 to 200 ms late; the first three pauses (60, 120 and
+	// 240 ms) together are longer than that.
 	rejectionBackoff = 60 * time.Millisecond
-	// maxAnswerBytes limits the size of an answer that is buffered.
+	// maxAnswerBytes limits the size of an answer that is buffered; an answer of
+	// this size or more is treated as cut short.
 	maxAnswerBytes = 16 << 20
 )
 
@@ -42,7 +43,9 @@
 	return fmt.Sprintf("target %s: not run, status %d", e.Target, e.Status)
 }
 
-// FailedError reports that a target answered with an error of its own.
+// FailedError reports that a target, without stating that it did not run the
+// request, answered with status 500 or above, or that it answered the resumption
+// of a stream with a status other than 200.
 type FailedError struct {
 	Target instance.ID
 	Status int
@@ -272,8 +275,8 @@
 	return nil
 }
 
-// handleSendError handles an attempt that got no answer: the target was not
-// reached, or it may have crashed.
+// handleSendError handles an attempt that got no usable answer: the target was
+// not reached, it may have crashed, or what it sent was invalid.
 func (d *delivery) handleSendError(ctx context.Context, t *router.Target, n int, err error) error {
 	var dial *DialError
 	if errors.As(err, &dial) {
@@ -291,9 +294,9 @@
 	return d.checkCrash(ctx, t, err)
 }
 
-// markUnreachable records that no connection to the target could be opened: as a
-// failure and as the death of its incarnation, so that no requests are sent to
-// it.
+// markUnreachable is called when no connection to the target could be opened. It
+// records a failure and marks the target's incarnation dead, so that no requests
+// are sent to it.
 func (d *delivery) markUnreachable(t *router.Target) {
 	now := time.Now()
 	t.RecordFailure(now)
@@ -343,8 +346,9 @@
 // a refusal if the request is now blocked, and err otherwise.
 //
 // Requests that crash every target that runs them must be blocked. A target
-// counts as dead only if it refuses a new connection right after the failure,
-// so that a lost answer alone does not make a request suspect.
+// counts as dead only if no new connection to it opens right after the failure,
+// so that a lost answer alone does not make a request suspect. It also counts as
+// dead if ctx ends before the connection is open.
 func (d *delivery) checkCrash(ctx context.Context, t *router.Target, err error) error {
 	var clientErr *clientError
 
--- a/internal/serving/relay/exchange.go
+++ b/internal/serving/relay/exchange.go
@@ -202,8 +202,9 @@
 		return
 	}
 
-	// A target that answered early may take the next bytes for the rest of the
-	// request, and there is no sign of whether it did.
+	// If the body was long, the target may have answered before it had read all
+	// of it, and nothing in the answer shows this. It would then take the next
+	// request for the rest of the body.
 	if a.longBody || a.Close || !a.framed() || a.ProtoMajor != 1 || a.ProtoMinor != 1 {
 		a.conn.Close()
 
--- a/internal/serving/relay/identify.go
+++ b/internal/serving/relay/identify.go
@@ -16,7 +16,8 @@
 type Limiter interface {
 	// Charge charges a request to the team's limit, or refuses it.
 	Charge(ctx context.Context, t *team.Team, cost float64) ChargeResult
-	// Refund returns what was charged for a request that did not run.
+	// Refund credits the charge for a request that did not run back to the
+	// team's limit.
 	Refund(t *team.Team, cost float64)
 }
 
@@ -71,9 +72,9 @@
 }
 
 // matchRoute finds the route and the team of a request. If the key is unknown,
-// it first makes sure that no newer configuration contains it. Entries that
-// receive a change later than others would otherwise refuse clients with new
-// keys.
+// it calls RefreshTable and, if the table has changed, looks the key up once more.
+// Entries that receive a change later than others would otherwise refuse clients
+// with new keys.
 func (s *Server) matchRoute(r *http.Request, table *route.Table, info RequestInfo) (matchedRoute, error) {
 	m, err := matchIn(r, table, info)
 
@@ -144,7 +145,8 @@
 	return false
 }
 
-// refund returns what was charged if the request provably did not run.
+// refund credits the charge back to the team's limit if the request provably did
+// not run.
 func (d *delivery) refund() {
 	if d.cost > 0 && d.attemptLog.Run() == request.NotRun {
 		d.Limits.Refund(d.team, d.cost)
--- a/internal/serving/relay/identify_test.go
+++ b/internal/serving/relay/identify_test.go
@@ -119,8 +119,7 @@
 	}
 }
 
-// TestTeamPriority refreshes that a team's priority takes precedence over its
-// route's.
+// TestTeamPriority checks that a team's priority takes precedence over its route's.
 func TestTeamPriority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newKeyedFixture(t, false)
@@ -133,7 +132,7 @@
 	})
 }
 
-// TestKeyOfNewerConfiguration refreshes that a client is not refused if its key is
+// TestKeyOfNewerConfiguration checks that a client is not refused if its key is
 // in a configuration that this entry has not received yet.
 func TestKeyOfNewerConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -225,7 +224,7 @@
 	})
 }
 
-// TestRefund refreshes that the charge for a request is refunded if it provably
+// TestRefund checks that the charge for a request is refunded if it provably
 // did not run, and only then.
 func TestRefund(t *testing.T) {
 	for name, tc := range map[string]struct {
@@ -248,7 +247,7 @@
 	}
 }
 
-// TestNoKeysInLog refreshes that the log contains no keys.
+// TestNoKeysInLog checks that the log contains no keys.
 func TestNoKeysInLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log bytes.Buffer
--- a/internal/serving/relay/relay_test.go
+++ b/internal/serving/relay/relay_test.go
@@ -129,8 +129,8 @@
 	return f
 }
 
-// listTargets publishes snapshot number, in which both targets have new
-// incarnations.
+// listTargets publishes a snapshot with the given number, in which both targets
+// have new incarnations.
 func (f *fixture) listTargets(number uint64) {
 	s := &router.Snapshot{Token: 1, Number: number}
 	for i, id := range []instance.ID{"a", "b"} {
@@ -646,7 +646,7 @@
 
 // TestCrashingRequest covers a request that crashes each target that runs it
 // and that its client sends again and again. After it has crashed two targets, it
-// must not be sent to any more. A request whose answers are only lost must not be
+// must not be sent to a target again. A request whose answers are only lost must not be
 // blocked.
 func TestCrashingRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/serving/relay/server.go
+++ b/internal/serving/relay/server.go
@@ -219,9 +219,9 @@
 	w.WriteHeader(status)
 }
 
-// count counts an answer by the kind of its request and a status. Every answer of
-// a target that counts as a success is counted as 200, whatever its own status.
-// Status zero means that the answer broke off or that the client left.
+// count counts an answer by the kind of its request and a status. A target's
+// answer with a status below 500 is counted as 200. Status zero means that the
+// answer broke off or that the client left.
 func (s *Server) count(kind string, status int) {
 	if s.Metrics != nil {
 		s.Metrics.Tagged(map[string]string{"kind": kind, "status": strconv.Itoa(status)}).Counter("answers").Inc(1)
@@ -296,8 +296,9 @@
 	// retryReserved is set if the retry budget was already debited for the next
 	// attempt.
 	retryReserved atomic.Bool
-	// fallback is a target's own error answer, which the client gets if no
-	// other attempt succeeds.
+	// fallback is the last answer of a target with status 500 or above. The
+	// client gets it if no later attempt succeeds and no part of a stream was
+	// sent.
 	fallback *bufferedAnswer
 }
 
@@ -409,9 +410,9 @@
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// finish writes the request's final answer, if none was written, and logs the
-// outcome. If the answer broke off, it panics with http.ErrAbortHandler to close
-// the client's connection.
+// finish writes the request's final answer, if none was written and the client
+// has not left, and logs the outcome. If the answer broke off while the client was
+// connected, it panics with http.ErrAbortHandler to close the client's connection.
 func (d *delivery) finish(err error) {
 	line := d.Log.Info().Str("id", d.info.ID).Str("route", d.route.Name).Str("team", d.teamName()).Float64("cost", d.cost).Uint64("config", d.version).
 		Str("key", d.req.Model).Int("sends", d.attemptLog.Count()).Bool("cold", d.coldStart).
--- a/internal/serving/relay/stream.go
+++ b/internal/serving/relay/stream.go
@@ -14,8 +14,9 @@
 )
 
 // eventTimeout is the longest time between two events of a resumable stream;
-// after it, another target resumes the stream. It leaves time for that before
-// clients disconnect, which is after 2.4 s or more.
+// after it, the stream is resumed at another target if the request may be retried
+// (see closeStalled). It leaves time for that before clients disconnect, which is
+// after 2.4 s or more.
 const eventTimeout = 1600 * time.Millisecond
 
 // forwardStream forwards a stream's events to the client as they arrive.
@@ -89,7 +90,9 @@
 	t.RecordSuccess(time.Since(sent), t.InFlight())
 }
 
-// endStream handles the end of a stream, which is complete or cut off.
+// endStream handles the end of a stream, which is complete or cut off. A stream
+// that does not state its own length counts as complete if its connection ends
+// between two events.
 func (d *delivery) endStream(t *router.Target, n int, a *answer, rest []byte, err error) error {
 	if !errors.Is(err, io.EOF) || !a.framed() && len(rest) > 0 {
 		a.abandon()
