--- a/cmd/fulmarcross-entry/main.go
+++ b/cmd/fulmarcross-entry/main.go
@@ -1,5 +1,5 @@
-// Command fulmarcross-entry is one entry of fulmarcross on the users'
-// platform.
+// Command fulmarcross-entry runs one entry, the front-end process of
+// fulmarcross, on the users' platform.
 package main
 
 import (
--- a/fetch_test.go
+++ b/fetch_test.go
@@ -11,8 +11,10 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// fetch is the script command "fetch URL [BODY [HEADER=VALUE…]]". It writes
-// the answer to the file answer.
+// fetch is the script command "fetch URL [BODY [HEADER=VALUE…]]". It sends a
+// GET request, or a POST request if BODY is given, and writes the response body
+// to the file answer. It fails if the status is 400 or above; negated, it fails
+// if the status is below 400.
 func fetch(ts *testscript.TestScript, neg bool, args []string) {
 	body, status, err := get(args)
 	ts.Check(err)
@@ -23,8 +25,8 @@
 	}
 }
 
-// await is the script command "await URL". It waits until the answer is a
-// success.
+// await is the script command "await URL [BODY [HEADER=VALUE…]]". It sends the
+// request up to 300 times, 50 ms apart, until the status is 200.
 func await(ts *testscript.TestScript, _ bool, args []string) {
 	for range 300 {
 		if _, status, err := get(args); err == nil && status == http.StatusOK {
--- a/internal/platform/object/object.go
+++ b/internal/platform/object/object.go
@@ -1,5 +1,5 @@
-// Package object is the client side of the platform's object store, which
-// keeps large or rarely read data.
+// Package object defines the client interface of the platform's object store,
+// which holds large or rarely read data.
 package object
 
 import (
@@ -7,11 +7,11 @@
 	"fmt"
 )
 
-// Store keeps objects by name.
+// Store stores objects by name.
 type Store interface {
-	// Put stores data under name, replacing what was there.
+	// Put stores data under name, replacing any existing object.
 	Put(ctx context.Context, name string, data []byte) error
-	// Get returns the object, or a *NotFoundError.
+	// Get returns the object, or a *NotFoundError if there is none.
 	Get(ctx context.Context, name string) ([]byte, error)
 	// List returns the names that begin with prefix, sorted.
 	List(ctx context.Context, prefix string) ([]string, error)
@@ -19,7 +19,7 @@
 	Delete(ctx context.Context, name string) error
 }
 
-// NotFoundError says that no object has this name.
+// NotFoundError reports that no object is stored under Name.
 type NotFoundError struct {
 	Name string
 }
--- a/internal/platform/roster/roster.go
+++ b/internal/platform/roster/roster.go
@@ -1,5 +1,5 @@
-// Package roster is the client side of the platform's list of instances. The
-// list lags behind what happens.
+// Package roster defines the client interface of the platform's list of
+// instances. The list is updated with a delay, so it may be out of date.
 package roster
 
 import (
--- a/internal/platform/table/settle.go
+++ b/internal/platform/table/settle.go
@@ -8,25 +8,31 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/clock"
 )
 
-// Pause between two tries to settle a write, doubled up to the limit.
+// The pause between two attempts starts at settlePause and doubles up to
+// settlePauseMax.
 const (
 	settlePause    = 20 * time.Millisecond
 	settlePauseMax = 500 * time.Millisecond
 )
 
-// Settle commits tx and finds out whether it took effect even when answers
-// are lost. The first write of tx is the witness: its value must be unique to
-// this call and its key must be among the conditions.
+// Settle commits tx and, if an answer is lost, determines whether tx took
+// effect. It returns the version of the written rows, or the *ConflictError of
+// the commit. The first write of tx is the witness: its value must be unique
+// to this call and its key must be among the conditions.
 //
-// The failure it guards against is an answer lost after the write took
-// effect: a plain retry would then report a conflict with itself, and giving
-// up would leave a row nobody counts. Committing again under the same
-// conditions cannot apply twice, because the first success changes the
-// witness's version, so each round either succeeds, finds its own witness, or
-// finds another's.
+// Settle guards against an answer that is lost after the commit took effect.
+// A plain retry would then conflict with its own write, and giving up would
+// leave a row that no instance accounts for. After each failed commit, Settle
+// reads the witness row: if it holds the witness's value, tx took effect.
+// Otherwise a conflict is returned, and any other error, or a failed read,
+// leads to another attempt. A second attempt cannot apply tx again, because
+// the first success changes the version of the witness row. The exception is a
+// condition that the row be absent: it holds again if another client deletes
+// the row between the attempts. If another client overwrites the witness row
+// before Settle reads it, Settle may return a conflict although tx took effect.
 //
-// When ctx ends first it returns an *UnavailableError: the transaction may
-// still take effect.
+// If ctx ends first, Settle returns an *UnavailableError, and tx remains in
+// doubt: it may have taken effect or may still do so.
 func Settle(ctx context.Context, s Service, tx Transaction) (uint64, error) {
 	pause := settlePause
 
@@ -53,9 +59,12 @@
 	}
 }
 
-// SettleDelete deletes the row at key if it still has the version, under the
-// other conditions, and finds out whether it is gone even when answers are
-// lost. A row that is absent counts as deleted, whoever did it.
+// SettleDelete deletes the row at key if it has the given version and the other
+// conditions hold. If an answer is lost, it reads the row to determine whether
+// it was deleted. An absent row counts as deleted, even if another client
+// deleted it or a condition does not hold. If the row is present after a
+// conflict, SettleDelete returns the *ConflictError. If ctx ends first, it
+// returns an *UnavailableError, and the delete remains in doubt.
 func SettleDelete(ctx context.Context, s Service, key string, version uint64, conditions ...Condition) error {
 	tx := Transaction{
 		Conditions: append([]Condition{{Key: key, Version: version}}, conditions...),
@@ -83,6 +92,8 @@
 	}
 }
 
+// witnessState is the result of reading the witness row: whether it holds the
+// value that this call writes, and its version.
 type witnessState struct {
 	ours    bool
 	version uint64
--- a/internal/platform/table/table.go
+++ b/internal/platform/table/table.go
@@ -1,5 +1,6 @@
 // Package table is the client side of the platform's transactional table
-// service. It keeps everything that must last or be agreed between instances.
+// service, the store. The store holds all state that must be durable or
+// consistent across instances.
 package table
 
 import (
@@ -30,27 +31,28 @@
 	Delete bool
 }
 
-// Transaction takes effect whole or not at all.
+// Transaction is applied atomically: either all writes take effect, when every
+// condition holds, or none does.
 type Transaction struct {
 	Conditions []Condition
 	Writes     []Write
 }
 
-// Service is the table service. Every call may fail with an *UnavailableError
-// after it took effect.
+// Service is the table service. Any call may return an *UnavailableError even
+// though it took effect.
 type Service interface {
 	// Read returns the rows at keys, in order. An absent row has Version zero.
 	Read(ctx context.Context, keys ...string) ([]Row, error)
 	// Scan returns at most limit rows whose keys begin with prefix and sort
 	// after the key after, sorted by key.
 	Scan(ctx context.Context, prefix, after string, limit int) ([]Row, error)
-	// Commit applies tx, or fails with a *ConflictError when a condition does
-	// not hold. It returns the version that every written row then has.
+	// Commit applies tx and returns the new version, which is the same for all
+	// written rows. It returns a *ConflictError if a condition does not hold.
 	Commit(ctx context.Context, tx Transaction) (uint64, error)
 }
 
-// ConflictError says that a transaction had no effect, because the row at Key
-// had another version than its condition asks for.
+// ConflictError reports that a transaction had no effect because the row at
+// Key has Version, which differs from the version that a condition requires.
 type ConflictError struct {
 	Key     string
 	Version uint64
@@ -60,8 +62,8 @@
 	return fmt.Sprintf("table: row %s is at version %d", e.Key, e.Version)
 }
 
-// UnavailableError says that the service gave no answer. The call may have
-// taken effect, or may still do so.
+// UnavailableError reports that the service did not answer. The call is in
+// doubt: it may have taken effect, or may still do so.
 type UnavailableError struct {
 	Op  string
 	Err error
@@ -73,16 +75,17 @@
 
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
-// IsConflict reports whether err says that a transaction had no effect.
+// IsConflict reports whether err is or wraps a *ConflictError.
 func IsConflict(err error) bool {
 	var conflict *ConflictError
 
 	return errors.As(err, &conflict)
 }
 
-// ScanAll reads every row below prefix, page by page.
+// ScanAll returns all rows whose keys begin with prefix, sorted by key. It
+// reads them in several calls, so the result is not a snapshot.
 func ScanAll(ctx context.Context, s Service, prefix string) ([]Row, error) {
-	const page = 500
+	const pageSize = 500
 
 	var (
 		all   []Row
@@ -90,13 +93,13 @@
 	)
 
 	for {
-		rows, err := s.Scan(ctx, prefix, after, page)
+		rows, err := s.Scan(ctx, prefix, after, pageSize)
 		if err != nil {
 			return nil, err
 		}
 
 		all = append(all, rows...)
-		if len(rows) < page {
+		if len(rows) < pageSize {
 			return all, nil
 		}
 
--- a/internal/platform/weight/weight.go
+++ b/internal/platform/weight/weight.go
@@ -1,16 +1,16 @@
-// Package weight is the client side of the platform's weight store. Engines
-// fetch checkpoints from it by themselves; this program only reads what there
-// is to load.
+// Package weight defines the client interface of the platform's weight store.
+// Engines fetch checkpoints directly from the store; this program only lists
+// them.
 package weight
 
 import "context"
 
-// Checkpoint is a model's or an adapter's weights.
+// Checkpoint describes the weights of a model or an adapter.
 type Checkpoint struct {
 	Name string
-	// Base is the model that an adapter changes. It is empty for a model.
+	// Base is the base model of an adapter. It is empty for a model.
 	Base string
-	// Bytes is the memory that the checkpoint holds once it is loaded.
+	// Bytes is the memory that the loaded checkpoint occupies.
 	Bytes int64
 }
 
--- a/main.go
+++ b/main.go
@@ -1,4 +1,4 @@
-// Command fulmarcross serves models that see rare use.
+// Command fulmarcross serves models that are rarely requested.
 package main
 
 import (
--- a/main_test.go
+++ b/main_test.go
@@ -20,8 +20,8 @@
 	})
 }
 
-// TestScripts runs the commands end to end, as separate processes where a
-// script starts several.
+// TestScripts runs the scripts in testdata/scripts, which test the commands end
+// to end. A script may start several processes.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/scripts",
@@ -37,32 +37,37 @@
 
 const module = "github.com/fulmarcross/fulmarcross/"
 
-// decisions are the packages that decide. They take their inputs as values.
-var decisions = []string{
+// decisionPackages lists the packages that make decisions. They take their
+// inputs as values.
+var decisionPackages = []string{
 	"customer/key", "customer/limit", "customer/plan", "customer/quota", "customer/team", "fleet/instance", "fleet/inventory", "fleet/membership", "placement/demand", "placement/history", "placement/lease", "placement/ledger",
 	"placement/replica", "placement/share", "placement/swap", "room/board", "serving/crash", "serving/queue", "serving/request",
 	"serving/route", "serving/router", "serving/stream",
 }
 
-// doors are what packages do I/O with. Package net/netip has only values.
-var doors = []string{"net", "net/http", "net/rpc", "os", "os/exec", "database/sql", "io/ioutil", "syscall"}
+// ioPackages lists standard packages that do I/O. It omits net/netip, which has
+// only value types.
+var ioPackages = []string{"net", "net/http", "net/rpc", "os", "os/exec", "database/sql", "io/ioutil", "syscall"}
 
-// TestDecisionsDoNoIO holds that no package of decisions imports one that
-// does I/O, itself or through others of this module.
+// TestDecisionsDoNoIO checks that no package in decisionPackages imports a
+// package that does I/O, directly or through other packages of this module.
+// Imports of test files and of other modules' packages are not followed.
 func TestDecisionsDoNoIO(t *testing.T) {
-	for _, name := range decisions {
+	for _, name := range decisionPackages {
 		seen := make(map[string]bool)
-		walk(t, "internal/"+name, seen)
+		collectImports(t, "internal/"+name, seen)
 
 		for imported := range seen {
-			assert.Assert(t, !slices.Contains(doors, imported), "%s imports %s", name, imported)
+			assert.Assert(t, !slices.Contains(ioPackages, imported), "%s imports %s", name, imported)
 			assert.Assert(t, !strings.Contains(imported, "/wire/") && !strings.Contains(imported, "/platform/table"),
 				"%s imports %s", name, imported)
 		}
 	}
 }
 
-func walk(t *testing.T, dir string, seen map[string]bool) {
+// collectImports adds to seen the imports of the package in dir and,
+// recursively, those of the imported packages of this module.
+func collectImports(t *testing.T, dir string, seen map[string]bool) {
 	t.Helper()
 
 	pkg, err := build.ImportDir(dir, 0)
@@ -76,7 +81,7 @@
 		seen[imported] = true
 
 		if own, ok := strings.CutPrefix(imported, module); ok {
-			walk(t, own, seen)
+			collectImports(t, own, seen)
 		}
 	}
 }
