--- a/fetch_test.go
+++ b/fetch_test.go
@@ -26,7 +26,8 @@
 }
 
 // await is the script command "await URL [BODY [HEADER=VALUE…]]". It sends the
-// request up to 300 times, 50 ms apart, until the status is 200.
+// request up to 300 times, with a pause of 50 ms after each attempt, until the
+// status is 200, and fails if it never is. Negation has no effect.
 func await(ts *testscript.TestScript, _ bool, args []string) {
 	for range 300 {
 		if _, status, err := get(args); err == nil && status == http.StatusOK {
