--- a/internal/room/board/board.go
+++ b/internal/room/board/board.go
@@ -1,5 +1,5 @@
-// Package board builds the numbered state that everyone in the room sees. One
-// entry publishes it, and all entries show the same bytes at the same number.
+// Package board builds the numbered system state shown in the operations room.
+// One entry publishes it, and all entries serve the same bytes for a number.
 // The package does no I/O and reads no clock.
 package board
 
@@ -17,13 +17,14 @@
 	"github.com/fulmarcross/fulmarcross/internal/serving/router"
 )
 
-// Number orders boards. A board with a higher number replaces one with a
-// lower number everywhere.
+// Number orders boards. A board with a higher number replaces one with a lower
+// number on every entry.
 type Number uint64
 
 const sequenceBits = 32
 
-// NumberOf returns the number of the n-th board under a publisher's token.
+// NumberOf returns the number of the n-th board that a publisher builds under a
+// fencing token. Only the lower 32 bits of the token are used.
 func NumberOf(token uint64, n uint32) Number { return Number(token<<sequenceBits | uint64(n)) }
 
 func (n Number) String() string {
@@ -35,8 +36,8 @@
 	Number    Number
 	At        time.Time
 	Publisher instance.ID
-	// ListVersion is the newest version of the lists in force anywhere, on
-	// InForce of the known entries.
+	// ListVersion is the newest version of the lists in force on any known
+	// entry, and InForce counts the entries on which it is in force.
 	ListVersion uint64
 	InForce     int
 	Models      []Model
@@ -46,7 +47,7 @@
 	Promises    []Promise
 }
 
-// Model is a model or adapter that is loaded or wanted.
+// Model is a model or adapter that is loaded or that requests wait for.
 type Model struct {
 	Name    string
 	Ready   []instance.ID
@@ -62,7 +63,7 @@
 	Models int
 }
 
-// Plan is a plan's use of its limits.
+// Plan is a plan's limits and its usage, which is summed over the known entries.
 type Plan struct {
 	Name         string
 	Customer     string
@@ -72,8 +73,8 @@
 	Answered     int64
 	Tokens       int64
 	Accelerators int
-	// IdleTargets is how many targets hold only models of the plan of which
-	// none runs.
+	// IdleTargets counts the targets that have a model ready that the plan may
+	// use and neither run nor queue requests.
 	IdleTargets int
 	Refused     []Refused
 }
@@ -95,25 +96,25 @@
 	Cells       []int
 }
 
-// Promise is a promise of the system that this board can check.
+// Promise is a guarantee of the system that can be checked on a board.
 type Promise struct {
 	Name   string
 	Kept   bool
 	Detail string
 }
 
-// View is what a board is built from.
+// View is the input of Build.
 type View struct {
 	Number    Number
 	At        time.Time
 	Publisher instance.ID
 	Lists     plan.State
 	Table     *router.Table
-	// Statuses are those of all known entries, this one included.
+	// Statuses holds the status of every known entry, this one included.
 	Statuses []peer.Status
 }
 
-// Build returns the board.
+// Build returns the board for the input v.
 func Build(v View) Board {
 	b := Board{Number: v.Number, At: v.At, Publisher: v.Publisher}
 
@@ -157,7 +158,7 @@
 		}
 
 		m.Waiting = w.Waiting
-		m.Why = why(w, len(m.Ready) > 0)
+		m.Why = waitReason(w, len(m.Ready) > 0)
 	})
 
 	out := make([]Model, 0, len(byName))
@@ -172,7 +173,9 @@
 	return out
 }
 
-func why(w router.Wait, ready bool) string {
+// waitReason returns what the waiting requests of a model wait for. ready reports
+// whether the model is ready on a target.
+func waitReason(w router.Wait, ready bool) string {
 	switch {
 	case w.Reason != "":
 		return w.Reason
@@ -216,7 +219,7 @@
 		for _, s := range v.Statuses {
 			for _, c := range s.Plans {
 				if c.Plan == p.Name {
-					add(&line, c, refused)
+					addCounts(&line, c, refused)
 				}
 			}
 		}
@@ -236,7 +239,7 @@
 	return out
 }
 
-func add(line *Plan, c peer.PlanCount, refused map[request.Code]int64) {
+func addCounts(line *Plan, c peer.PlanCount, refused map[request.Code]int64) {
 	line.Running += c.Running
 	line.Waiting += c.Waiting
 	line.Answered += c.Answered
@@ -247,10 +250,12 @@
 	}
 }
 
-// idleTargets counts the targets on which nothing runs and which hold a model
-// that only this plan may use.
+// idleTargets counts the targets that have a model ready that the plan may use
+// and neither run nor queue requests. Only allowances of kind plan.Model are
+// considered. Other plans may use the same model, so one target may count for
+// several plans.
 func idleTargets(v View, name string) int {
-	held := make(map[instance.ID]bool)
+	idle := make(map[instance.ID]bool)
 
 	v.Table.Models(func(model string, ready []*router.Target) {
 		if !v.Lists.Allows(name, plan.Model, model) {
@@ -259,12 +264,12 @@
 
 		for _, t := range ready {
 			if info := t.Info(); info.Running+info.Waiting == 0 {
-				held[t.ID] = true
+				idle[t.ID] = true
 			}
 		}
 	})
 
-	return len(held)
+	return len(idle)
 }
 
 func instances(v View) []Instance {
@@ -291,8 +296,7 @@
 	return out
 }
 
-// promises checks what this board can show. What it cannot show is not
-// listed.
+// promises checks the guarantees that can be checked on the board alone.
 func promises(b *Board) []Promise {
 	return []Promise{memoryPromise(b), listPromise(b), leavingPromise(b)}
 }
@@ -318,6 +322,8 @@
 	}
 }
 
+// leavingPromise is reported as broken if a leaving target is still listed as
+// ready for a model.
 func leavingPromise(b *Board) Promise {
 	p := Promise{Name: "leaving targets get no new work", Kept: true}
 
--- a/internal/room/logbook/cost_test.go
+++ b/internal/room/logbook/cost_test.go
@@ -8,7 +8,7 @@
 	"github.com/rs/zerolog"
 )
 
-// BenchmarkLine is one line of a decision, as it costs the request that writes
+// BenchmarkLine measures what logging one decision costs the request that logs
 // it.
 func BenchmarkLine(b *testing.B) {
 	book := New(io.Discard)
--- a/internal/room/logbook/logbook.go
+++ b/internal/room/logbook/logbook.go
@@ -1,5 +1,5 @@
-// Package logbook writes a process's log lines without ever making a request
-// wait for them.
+// Package logbook writes a process's log lines without blocking the requests
+// that log them.
 package logbook
 
 import (
@@ -11,42 +11,48 @@
 )
 
 const (
-	// waiting bounds the lines that wait to be written, 512 of about 300
-	// bytes.
-	waiting = 512
-	// perSecond bounds the lines of a second: three a request at the most that
-	// an entry of 0.4 cores answers.
-	perSecond = 400
+	// queueSize is the capacity of the queue of unwritten lines. A line has
+	// about 300 bytes, so a full queue takes about 150 KiB.
+	queueSize = 512
+	// linesPerSecond limits the lines accepted in a window of one second. It
+	// allows three lines for each request at the highest request rate of an
+	// entry with 0.4 cores.
+	linesPerSecond = 400
 )
 
-// Book is an io.Writer of lines that never blocks: lines that come too fast,
-// or that the output does not take, are dropped and counted. Open it with
-// New.
+// Book is an io.Writer that never blocks on its output. Lines above the rate
+// limit and lines that find the queue full are dropped and counted. Create it
+// with New.
 //
-// It guards against a full pipe: whoever reads the output may have stopped,
-// and a request that logs would hang with it.
+// The queue decouples requests from a full pipe: if the reader of the output
+// stops, a direct write would block the request that logs.
 type Book struct {
 	lines   chan []byte
 	dropped atomic.Int64
 	done    chan struct{}
 
-	mu     sync.Mutex
-	second time.Time
-	n      int
+	mu sync.Mutex
+	// windowStart is when the current window of the rate limit began.
+	windowStart time.Time
+	// windowLines counts the lines of the window, dropped ones included.
+	windowLines int
 }
 
-// New returns a book that writes to w. Close ends it.
+// New returns a book that writes to w from its own goroutine, which ends after
+// Close.
 func New(w io.Writer) *Book {
-	b := &Book{lines: make(chan []byte, waiting), done: make(chan struct{})}
+	b := &Book{lines: make(chan []byte, queueSize), done: make(chan struct{})}
 
 	go b.run(w)
 
 	return b
 }
 
-// Write implements io.Writer.
+// Write queues a copy of line, or drops and counts it. It always reports
+// success. It must not be called after Close: sending to the closed queue
+// panics.
 func (b *Book) Write(line []byte) (int, error) {
-	if !b.take(time.Now()) {
+	if !b.allow(time.Now()) {
 		b.dropped.Add(1)
 
 		return len(line), nil
@@ -61,26 +67,29 @@
 	return len(line), nil
 }
 
-func (b *Book) take(now time.Time) bool {
+// allow counts a line and reports whether it is within the rate limit.
+func (b *Book) allow(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	if now.Sub(b.second) >= time.Second {
-		b.second, b.n = now, 0
+	if now.Sub(b.windowStart) >= time.Second {
+		b.windowStart, b.windowLines = now, 0
 	}
 
-	b.n++
+	b.windowLines++
 
-	return b.n <= perSecond
+	return b.windowLines <= linesPerSecond
 }
 
-// Dropped returns how many lines were not written.
+// Dropped returns the number of lines dropped and of failed writes. Lines still
+// queued when Close gives up are not counted.
 func (b *Book) Dropped() int64 { return b.dropped.Load() }
 
-// closeWait is how long Close waits for the output to take the last lines.
+// closeWait limits how long Close waits for the queued lines to be written.
 const closeWait = 200 * time.Millisecond
 
-// Close writes what waits, as far as the output takes it at once.
+// Close waits until the queued lines are written, for closeWait at most. It
+// must be called once only.
 func (b *Book) Close() {
 	close(b.lines)
 
@@ -90,19 +99,21 @@
 	}
 }
 
+// run writes the queued lines. When lines were dropped since the last report,
+// it appends a report of their number to the next line.
 func (b *Book) run(w io.Writer) {
 	defer close(b.done)
 
-	told := int64(0)
+	reported := int64(0)
 
 	for line := range b.lines {
-		if n := b.dropped.Load(); n > told {
-			line = append(line, fmt.Sprintf("{\"level\":\"warn\",\"dropped\":%d,\"message\":\"log lines dropped\"}\n", n-told)...)
-			told = n
+		if n := b.dropped.Load(); n > reported {
+			line = append(line, fmt.Sprintf("{\"level\":\"warn\",\"dropped\":%d,\"message\":\"log lines dropped\"}\n", n-reported)...)
+			reported = n
 		}
 
 		if _, err := w.Write(line); err != nil {
-			// There is nobody left to tell.
+			// The log itself has failed, so the error is only counted.
 			b.dropped.Add(1)
 		}
 	}
--- a/internal/room/logbook/logbook_test.go
+++ b/internal/room/logbook/logbook_test.go
@@ -11,9 +11,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFullPipe: whoever reads the output has stopped, and the pipe is full. A
-// request that logs must not wait; what is dropped is told once the pipe moves
-// again.
+// TestFullPipe checks that Write does not block while the reader of the output
+// has stopped and the pipe is full. The number of dropped lines is reported once
+// the pipe is read again.
 func TestFullPipe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, w := io.Pipe()
@@ -21,7 +21,7 @@
 		began := time.Now()
 
 		for range 5 {
-			for range perSecond {
+			for range linesPerSecond {
 				_, err := b.Write([]byte("line\n"))
 				assert.NilError(t, err)
 			}
@@ -29,7 +29,7 @@
 			time.Sleep(time.Second)
 		}
 
-		assert.Equal(t, time.Since(began), 5*time.Second, "a line waited for the output")
+		assert.Equal(t, time.Since(began), 5*time.Second, "Write blocked on the output")
 		assert.Assert(t, b.Dropped() > 0)
 
 		var out bytes.Buffer
@@ -45,27 +45,27 @@
 		synctest.Wait()
 
 		lines := strings.Split(out.String(), "\n")
-		assert.Assert(t, len(lines) <= waiting+5)
+		assert.Assert(t, len(lines) <= queueSize+5)
 		assert.Assert(t, strings.Contains(out.String(), `"dropped":`))
 		assert.Assert(t, strings.Contains(out.String(), "last\n"))
 	})
 }
 
-// TestBurst: lines that come too fast are dropped and counted, and a second
-// later there is room again.
+// TestBurst checks that lines above the rate limit are dropped and counted, and
+// that lines are accepted again a second later.
 func TestBurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 
 		b := New(&out)
 
-		for range 3 * perSecond {
+		for range 3 * linesPerSecond {
 			_, _ = b.Write([]byte("x\n"))
 
 			synctest.Wait()
 		}
 
-		assert.Equal(t, b.Dropped(), int64(2*perSecond))
+		assert.Equal(t, b.Dropped(), int64(2*linesPerSecond))
 		time.Sleep(time.Second)
 
 		_, _ = b.Write([]byte("y\n"))
--- a/internal/room/metric/metric.go
+++ b/internal/room/metric/metric.go
@@ -1,5 +1,5 @@
-// Package metric keeps a process's counters and latency histograms and serves
-// them as text, in the format that scrapers of the Prometheus family read.
+// Package metric collects a process's counters, gauges and latency histograms
+// and serves them in the Prometheus text format.
 package metric
 
 import (
@@ -14,7 +14,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Page takes what a tally scope reports. The zero value is empty and ready.
+// Page is a tally.StatsReporter that accumulates reported metrics and an
+// http.Handler that serves them. The zero value is ready for use.
 type Page struct {
 	mu       sync.Mutex
 	counters map[string]int64
@@ -23,18 +24,19 @@
 	buckets map[string]map[time.Duration]int64
 }
 
-// reportEvery is how often the scope reports. The page is that old at most.
-const reportEvery = time.Second
+// reportInterval is the scope's reporting interval, and so about the greatest age
+// of the values on the page.
+const reportInterval = time.Second
 
 // Scope returns a scope that reports to the page until it is closed.
 func (p *Page) Scope() (tally.Scope, io.Closer) {
 	return tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "fulmarcross", Reporter: p, Separator: "_", OmitCardinalityMetrics: true,
-	}, reportEvery)
+	}, reportInterval)
 }
 
-// Latencies are the bounds of the latency histograms: from what an answer from
-// a loaded model takes up to the longest that callers wait.
+// Latencies returns the bucket bounds of the latency histograms. They range
+// from the latency of a loaded model to the longest time that clients wait.
 func Latencies() tally.DurationBuckets {
 	return tally.DurationBuckets{
 		10 * time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond, 300 * time.Millisecond, 600 * time.Millisecond,
@@ -42,7 +44,7 @@
 	}
 }
 
-// label returns a metric's name with its tags, sorted.
+// label returns a metric's name followed by its tags, if any, in sorted order.
 func label(name string, tags map[string]string) string {
 	if len(tags) == 0 {
 		return name
@@ -82,11 +84,12 @@
 	p.gauges[label(name, tags)] = value
 }
 
-// ReportTimer implements tally.StatsReporter. Times are kept in histograms.
+// ReportTimer implements tally.StatsReporter. It does nothing, since latencies
+// are reported as histograms.
 func (p *Page) ReportTimer(string, map[string]string, time.Duration) {}
 
-// ReportHistogramValueSamples implements tally.StatsReporter. Only durations
-// are kept.
+// ReportHistogramValueSamples implements tally.StatsReporter. It does nothing,
+// since only histograms of durations are supported.
 func (p *Page) ReportHistogramValueSamples(string, map[string]string, tally.Buckets, float64, float64, int64) {
 }
 
@@ -121,7 +124,7 @@
 // Flush implements tally.StatsReporter.
 func (p *Page) Flush() {}
 
-// ServeHTTP writes the page.
+// ServeHTTP writes all metrics, one a line, in sorted order.
 func (p *Page) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -142,10 +145,12 @@
 
 	slices.Sort(lines)
 
-	_, _ = io.WriteString(w, strings.Join(lines, "\n")+"\n") // A scraper that left gets nothing.
+	_, _ = io.WriteString(w, strings.Join(lines, "\n")+"\n") // The scraper may have disconnected.
 }
 
-// histogram returns the cumulative lines of one histogram.
+// histogram returns the cumulative bucket lines of one histogram and its count.
+// Buckets without samples are left out. Bounds above one hour stand for the
+// overflow bucket and become +Inf.
 func histogram(key string, buckets map[time.Duration]int64) []string {
 	name, tags, tagged := strings.Cut(strings.TrimSuffix(key, "}"), "{")
 	if tagged {
--- a/internal/room/screen/screen.go
+++ b/internal/room/screen/screen.go
@@ -1,5 +1,5 @@
-// Package screen is the page that the room's screens show. It is one embedded
-// file without a build step.
+// Package screen serves the page shown on the screens of the operations room.
+// The page is one embedded file without a build step.
 package screen
 
 import (
@@ -10,10 +10,12 @@
 //go:embed screen.html
 var page []byte
 
-// policy lets the page load nothing from elsewhere.
-const policy = "default-src 'none'; style-src 'unsafe-inline'; script-src 'unsafe-inline'; connect-src 'self'"
+// securityPolicy is the Content-Security-Policy. It allows inline scripts and
+// styles and connections to the page's own origin, and no other sources.
+const securityPolicy = "default-src 'none'; style-src 'unsafe-inline'; script-src 'unsafe-inline'; connect-src 'self'"
 
-// Handler serves the page.
+// Handler returns a handler that serves the page at / and answers 404 for every
+// other path.
 func Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/" {
@@ -24,7 +26,7 @@
 
 		h := w.Header()
 		h.Set("Content-Type", "text/html; charset=utf-8")
-		h.Set("Content-Security-Policy", policy)
+		h.Set("Content-Security-Policy", securityPolicy)
 
 		_, _ = w.Write(page)
 	})
--- a/internal/room/timeline/clock.go
+++ b/internal/room/timeline/clock.go
@@ -1,5 +1,5 @@
-// Package timeline records what happened, over all processes, in an order in
-// which causes come before their effects.
+// Package timeline records events of all processes in causal order: a cause
+// comes before its effects.
 package timeline
 
 import (
@@ -7,21 +7,23 @@
 	"time"
 )
 
-// Stamp is a hybrid logical time: milliseconds since 1970 in the upper 48
-// bits and a counter in the lower 16 bits. Stamps order events of all
-// processes such that a cause has a smaller stamp than its effect, even when
-// the machines' clocks differ.
+// Stamp is a hybrid logical time: milliseconds since 1970 in the upper 48 bits
+// and a counter in the lower 16 bits. A cause has a smaller stamp than its
+// effect even if the clocks of the instances differ, provided that every
+// receiver of a message passes its stamp to Clock.Observe.
 type Stamp uint64
 
 const counterBits = 16
 
-// Time returns the stamp's wall time, exact to a millisecond.
+// Time returns the stamp's wall time in milliseconds. It is ahead of the local
+// clock if the Clock has observed a later stamp, or if more than 65,536 stamps
+// were issued in a millisecond.
 func (s Stamp) Time() time.Time { return time.UnixMilli(int64(s >> counterBits)) } //nolint:gosec // 48 bits.
 
-// Clock gives out stamps. The zero value is ready for use.
+// Clock issues stamps. The zero value is ready for use.
 type Clock struct{ last atomic.Uint64 }
 
-// Now returns a stamp above all stamps given out or observed.
+// Now returns a stamp greater than all stamps issued or observed before.
 func (c *Clock) Now() Stamp {
 	for {
 		last := c.last.Load()
@@ -33,8 +35,8 @@
 	}
 }
 
-// Observe takes in a stamp that came with a message, so that later events
-// here are stamped after their cause there.
+// Observe records the stamp of a received message, so that later local stamps
+// are greater.
 func (c *Clock) Observe(s Stamp) {
 	for {
 		last := c.last.Load()
@@ -44,5 +46,5 @@
 	}
 }
 
-// StampOf returns the first stamp of the millisecond.
+// StampOf returns the lowest stamp of t's millisecond.
 func StampOf(t time.Time) Stamp { return Stamp(t.UnixMilli()) << counterBits } //nolint:gosec // After 1970.
--- a/internal/room/timeline/event.go
+++ b/internal/room/timeline/event.go
@@ -7,10 +7,11 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// Kind says what happened.
+// Kind is the kind of an event.
 type Kind string
 
-// The kinds of events, in the order in which a request and a load meet them.
+// The kinds of events. Those of requests and loads come first, roughly in the
+// order in which they occur.
 const (
 	Admitted       Kind = "admitted"
 	Queued         Kind = "queued"
@@ -40,14 +41,14 @@
 	ProcessStopped Kind = "processStopped"
 )
 
-// Event is one entry of the time line.
+// Event is one event of the timeline.
 type Event struct {
 	At       Stamp
 	Instance instance.ID
-	// Process tells apart the processes that ran on one instance.
+	// Process distinguishes the processes that ran on one instance.
 	Process string
 	// Number counts the process's events from one, without gaps, so that a
-	// missing number shows a gap.
+	// missing number means a missing event.
 	Number   uint64
 	Kind     Kind
 	Request  string
@@ -57,7 +58,7 @@
 	Detail   string
 }
 
-// Filter selects events. Empty fields select all.
+// Filter selects events. Empty fields match every event; Since is inclusive.
 type Filter struct {
 	Request string
 	Model   string
@@ -71,7 +72,7 @@
 		e.At >= f.Since
 }
 
-// Gap says that events of a process are missing between two numbers.
+// Gap is a range of missing events of a process.
 type Gap struct {
 	Instance instance.ID
 	Process  string
@@ -79,7 +80,8 @@
 	From, To uint64
 }
 
-// Merge orders events of several processes and drops copies.
+// Merge returns the events of all parts, ordered by stamp and without
+// duplicates.
 func Merge(parts ...[]Event) []Event {
 	all := slices.Concat(parts...)
 	slices.SortFunc(all, func(a, b Event) int {
@@ -95,7 +97,8 @@
 	})
 }
 
-// Gaps finds the numbers that are missing in unfiltered events.
+// Gaps returns the ranges of missing numbers between the lowest and the highest
+// number of each process. The events must be unfiltered.
 func Gaps(events []Event) []Gap {
 	type source struct {
 		id      instance.ID
--- a/internal/room/timeline/log.go
+++ b/internal/room/timeline/log.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// ringSize is how many events a process keeps of its own.
+	// ringSize is the number of its own events that a process retains.
 	ringSize = 1 << 14
-	// copiesSize is how many events of other processes it keeps.
+	// copiesSize is the number of events of other processes that it retains.
 	copiesSize = 1 << 15
 )
 
-// Log is a process's part of the time line: a bounded ring of its own events
-// and another of copies from its peers. The zero value is ready; set Instance
-// and Process before the first event.
+// Log is a process's part of the timeline: a ring buffer of its own events and
+// another of copies from its peers. Set Instance and Process before the first
+// event; the other fields are ready as zero values.
 type Log struct {
 	Instance instance.ID
 	Process  string
@@ -27,7 +27,7 @@
 	copies ring
 }
 
-// ring keeps the newest events up to its size.
+// ring is a ring buffer of the newest events.
 type ring struct {
 	mu     sync.Mutex
 	events []Event
@@ -65,7 +65,7 @@
 	return out
 }
 
-// Add stamps and keeps e. A nil log keeps nothing.
+// Add stamps, numbers and stores e. On a nil Log it does nothing.
 func (l *Log) Add(e Event) {
 	if l == nil {
 		return
@@ -81,13 +81,14 @@
 // Keep stores copies of other processes' events.
 func (l *Log) Keep(events []Event) { l.copies.add(copiesSize, events...) }
 
-// Query returns the selected events, own ones and copies, in order.
+// Query returns the own events and copies that f selects, in the order of Merge.
 func (l *Log) Query(f Filter) []Event {
 	return Merge(l.own.query(f.Match), l.copies.query(f.Match))
 }
 
 // After returns at most limit own events numbered above n, oldest first.
-// Events that have already left the ring are missing, which Gaps shows.
+// Events that the ring has already overwritten are missing; Gaps reports them
+// to a receiver that has earlier events of the process.
 func (l *Log) After(n uint64, limit int) []Event {
 	if l.number.Load() <= n {
 		return nil
--- a/internal/room/timeline/timeline_test.go
+++ b/internal/room/timeline/timeline_test.go
@@ -11,9 +11,9 @@
 	"github.com/fulmarcross/fulmarcross/internal/fleet/instance"
 )
 
-// TestCauseBeforeEffect is the story of two machines whose clocks are minutes
-// apart: one orders, the other carries out and answers. In the merged time
-// line the order must come first and its outcome last.
+// TestCauseBeforeEffect checks the merged order of events of two instances whose
+// clocks are ten minutes apart. One orders a load, the other confirms it, and
+// the first answers: the order must come first and the answer last.
 func TestCauseBeforeEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := &Log{Instance: "a", Process: "pa"}, &Log{Instance: "b", Process: "pb"}
@@ -52,14 +52,15 @@
 	assert.Equal(t, len(events), 10)
 	assert.Equal(t, len(a.After(7, 2)), 2)
 
-	// The peer has copies of all but the fourth to the sixth event; a is dead.
+	// Instance a is dead, and b has copies of all its events but the fourth to the
+	// sixth.
 	b.Keep(events[:3])
 	b.Keep(events[6:])
 	b.Keep(events[6:])
 	b.Add(Event{Kind: Answered})
 
 	merged := b.Query(Filter{})
-	assert.Equal(t, len(merged), 8, "copies that came twice count once")
+	assert.Equal(t, len(merged), 8, "duplicate copies count once")
 	assert.DeepEqual(t, Gaps(merged), []Gap{{Instance: "a", Process: "pa", From: 4, To: 6}})
 }
 
