--- a/internal/customer/limit/home.go
+++ b/internal/customer/limit/home.go
@@ -1,7 +1,7 @@
 // Package limit enforces plans' limits over all entries together. Each plan has a
 // limit owner, an entry that grants parts of the limits to the entries for a short
-// time. An entry that cannot reach the owner uses a small static share. The
-// package does no I/O and reads no clock.
+// time. An entry that cannot reach the owner uses a small static share. Owner and
+// Share do no I/O and read no clock; Shares reads the clock and waits for grants.
 package limit
 
 import (
@@ -83,7 +83,9 @@
 	changedAt time.Time
 }
 
-// grantRecord is what one entry demanded and was granted.
+// grantRecord is what one entry demanded and what counts as granted to it: its
+// grant, with Concurrency raised to the number of its running requests if that is
+// larger.
 type grantRecord struct {
 	Amount
 
@@ -132,8 +134,9 @@
 
 // divide returns the entry's part: its demand if all demands fit, otherwise a
 // part in proportion to its demand. An entry that demands concurrency gets at
-// least one request if one is free. The part is never more than what is neither
-// granted to others nor reserved for the static shares of entries without a grant.
+// least one request if one is free. The part is at most what is left of the limits
+// after subtracting, for each other entry, the larger of what counts as granted to
+// it and its static share.
 func divide(p plan.Plan, others map[instance.ID]grantRecord, r Request, n int) Amount {
 	all, static := Whole(p), Static(p, n)
 	without := max(0, n-1-len(others))
--- a/internal/customer/limit/shares.go
+++ b/internal/customer/limit/shares.go
@@ -19,9 +19,9 @@
 	shares sync.Map // shares maps a plan's name to its *Share.
 }
 
-// A request waits for a grant, which is requested every grantRetryInterval for up to
-// grantTimeout, when this entry's static share is used up and the owner does not
-// answer or does not grant yet. After a grant that was smaller than requested, the
+// When this entry's grant or static share is used up and the owner does not answer or
+// does not grant yet, a request waits: it requests a grant every grantRetryInterval
+// for up to grantTimeout. After a grant that was smaller than requested, the
 // limit counts as used up for grantRetryInterval from the time of that request.
 const (
 	grantRetryInterval = 100 * time.Millisecond
@@ -40,8 +40,8 @@
 }
 
 // Admit counts a request of the plan and, if necessary, requests a grant from the
-// limit owner. If the limit is used up it returns false and how long to wait before a
-// retry.
+// limit owner. It returns false and how long to wait before a retry if the limit is
+// used up, if no grant arrives within grantTimeout, or if ctx has ended without one.
 func (s *Shares) Admit(ctx context.Context, p plan.Plan) (retryAfter time.Duration, ok bool) {
 	share := s.Of(p.Name)
 	until := time.Now().Add(grantTimeout)
--- a/internal/customer/list/list_test.go
+++ b/internal/customer/list/list_test.go
@@ -86,8 +86,8 @@
 	})
 }
 
-// TestPutOutcomes lists the outcomes of a put: accepted, in conflict, or in doubt only
-// while the store cannot be reached. A retry after a lost answer is not applied twice.
+// TestPutOutcomes checks the outcomes of a put: accepted, in conflict, or in doubt. It
+// may be in doubt only while the store cannot be reached. A retry after a lost answer is not applied twice.
 func TestPutOutcomes(t *testing.T) {
 	put := Put{WriteID: "w", Author: "o", Changes: []plan.Change{allow("m")}}
 
--- a/internal/customer/list/store.go
+++ b/internal/customer/list/store.go
@@ -19,7 +19,7 @@
 // ConflictError says that an edit was based on an old version and was not accepted.
 type ConflictError struct {
 	Base, Version uint64
-	// Since are the edits accepted after Base, oldest first.
+	// Since are the edits accepted after Base, oldest first, at most maxHistory.
 	Since []plan.Edit
 }
 
@@ -50,9 +50,11 @@
 	Changes []plan.Change
 }
 
-// Put accepts the edit or refuses it with a *ConflictError. It returns the edit
-// with its version. An edit that was accepted before, as its WriteID shows, is
-// not applied again.
+// Put accepts the edit and returns it with its version. It refuses it with a
+// *ConflictError if Base is not the current version, and fails with an *InDoubtError
+// if the outcome is unknown. Any other error means that the current version could not
+// be read and that this call wrote nothing. An edit that was accepted before, as its
+// WriteID shows, is not applied again.
 func (s *Store) Put(ctx context.Context, p Put) (plan.Edit, error) {
 	current, row, err := s.version(ctx)
 	if err != nil {
@@ -95,7 +97,7 @@
 }
 
 // resolveStale finds out whether an edit based on an old version repeats one that
-// was accepted.
+// was accepted. It compares only the first maxHistory edits after Base.
 func (s *Store) resolveStale(ctx context.Context, p Put, current uint64) (plan.Edit, error) {
 	since, err := s.History(ctx, p.Base, maxHistory)
 	if err != nil {
--- a/internal/customer/quota/home.go
+++ b/internal/customer/quota/home.go
@@ -28,7 +28,8 @@
 	// group. Each part goes to a different owner, so that while one owner is down
 	// the other still has room for the usual load.
 	Parts = 2
-	// Slots is the number of parts of shares that an entry has.
+	// Slots is the number of parts that an entry's shares of all groups have
+	// together.
 	Slots = Groups * Parts
 )
 
@@ -49,7 +50,7 @@
 
 // Slack is how far the operators allow a limit to be exceeded.
 type Slack struct {
-	// Overrun is a fraction of the limit; Tolerance is in the limit's units.
+	// Overrun is a fraction of the limit's burst; Tolerance is in the limit's units.
 	Overrun, Tolerance float64
 }
 
@@ -83,8 +84,9 @@
 	Slack Slack
 
 	delegations map[instance.ID]*[Slots]Uptime
-	// delegated counts the delegated parts of each group. None of them expires
-	// before expiry.
+	// delegated counts the delegated parts of each group. expiry is a time before
+	// which none of them expires; from then on, the next call that advances the pools
+	// counts them again.
 	delegated [Groups]int
 	expiry    Uptime
 	pools     [Groups]pool
@@ -93,12 +95,12 @@
 
 // pool is what entries have delegated of a group's limits.
 type pool struct {
-	// part is the delegated fraction of the group's limits, from 0 to 1.
-	part float64
+	// fraction is the delegated fraction of the group's limits, from 0 to 1.
+	fraction float64
 	// at is the time up to which accrued is computed.
 	at Uptime
-	// accrued is the integral of part over time, in seconds: a whole limit adds 1 in
-	// each second.
+	// accrued is the integral of fraction over time, in seconds: a whole limit adds 1
+	// in each second.
 	accrued float64
 }
 
@@ -116,9 +118,9 @@
 
 // Accept accepts a delegation. entries is the number of entries that share the
 // limits: each delegated part counts as 1/(entries*Parts) of them, so if entries were
-// too low, the owners together could grant more than a limit. A node passes the
-// number of listed entries, itself included, and before its first scan of the list a
-// number larger than the largest site.
+// too low, the owners together could grant more than a limit. An entry passes the
+// number of listed entries, itself included; before its first scan of the list it
+// passes a number larger than the number of entries of the largest site.
 func (o *Owner) Accept(d Delegation, entries int, now Uptime) {
 	if d.Until <= now {
 		return
@@ -209,13 +211,13 @@
 
 	for g := range o.pools {
 		p := &o.pools[g]
-		part := min(1, float64(o.delegated[g])/float64(Parts*max(1, entries)))
+		fraction := min(1, float64(o.delegated[g])/float64(Parts*max(1, entries)))
 
-		if part < p.part {
+		if fraction < p.fraction {
 			shrunk[g] = true
 		}
 
-		p.advance(part, now)
+		p.advance(fraction, now)
 	}
 
 	if shrunk == [Groups]bool{} {
@@ -229,20 +231,20 @@
 	}
 }
 
-// advance accrues the limits up to now. If the delegated part changed during the
+// advance accrues the limits up to now. If the delegated fraction changed during the
 // interval, the smaller of the two values counts for all of it.
-func (p *pool) advance(part float64, now Uptime) {
+func (p *pool) advance(fraction float64, now Uptime) {
 	if now > p.at {
-		p.accrued += min(p.part, part) * time.Duration(now-p.at).Seconds()
+		p.accrued += min(p.fraction, fraction) * time.Duration(now-p.at).Seconds()
 		p.at = now
 	}
 
-	p.part = part
+	p.fraction = fraction
 }
 
 // fill adds what has accrued, up to the delegated part of the burst.
 func (b *bucket) fill(p *pool) {
-	b.level = min(b.level+(p.accrued-b.accrued)*b.limit.PerSecond, p.part*b.limit.Burst)
+	b.level = min(b.level+(p.accrued-b.accrued)*b.limit.PerSecond, p.fraction*b.limit.Burst)
 	b.accrued = p.accrued
 }
 
@@ -256,24 +258,24 @@
 
 	b := o.bucket(name, limit)
 	p := &o.pools[b.group]
-	need := min(cost, p.part*limit.Burst)
-	spare := p.part * (o.Slack.Tolerance + o.Slack.Overrun*limit.Burst)
+	need := min(cost, p.fraction*limit.Burst)
+	spare := p.fraction * (o.Slack.Tolerance + o.Slack.Overrun*limit.Burst)
 
 	switch {
-	case p.part == 0:
+	case p.fraction == 0:
 		return Decision{Wait: unknownWait}
 	case b.level-cost < -spare && b.level >= need:
 		// The request is larger than this owner can ever grant.
-		return Decision{Wait: unknownWait, Part: p.part}
+		return Decision{Wait: unknownWait, Part: p.fraction}
 	case b.level < need:
-		wait := time.Duration((need - b.level) / (p.part * limit.PerSecond) * float64(time.Second))
+		wait := time.Duration((need - b.level) / (p.fraction * limit.PerSecond) * float64(time.Second))
 
-		return Decision{Wait: max(wait, minWait), Part: p.part, Filling: p.accrued*limit.PerSecond < p.part*limit.Burst}
+		return Decision{Wait: max(wait, minWait), Part: p.fraction, Filling: p.accrued*limit.PerSecond < p.fraction*limit.Burst}
 	}
 
 	b.level -= cost
 
-	return Decision{Granted: true, Part: p.part}
+	return Decision{Granted: true, Part: p.fraction}
 }
 
 const (
@@ -281,7 +283,8 @@
 	// computed: the owner has no delegation, and delegations move to another owner in
 	// about that time; or the request is larger than the owner can ever grant.
 	unknownWait = time.Second
-	// minWait keeps a client from retrying before the refusal has been sent.
+	// minWait is the shortest wait given for a bucket without enough units; with a
+	// shorter one, a client's retry could arrive while the refusal is still being sent.
 	minWait = 10 * time.Millisecond
 )
 
@@ -290,7 +293,7 @@
 	o.advance(entries, now)
 
 	b := o.bucket(name, limit)
-	b.level = min(b.level+amount, o.pools[b.group].part*limit.Burst)
+	b.level = min(b.level+amount, o.pools[b.group].fraction*limit.Burst)
 }
 
 // bucket returns a team's bucket, filled under the limit now in force.
--- a/internal/customer/quota/lender.go
+++ b/internal/customer/quota/lender.go
@@ -9,8 +9,8 @@
 const (
 	// minInterval is the shortest time between two rounds of delegations. With many
 	// entries the interval is intervalPerEntry for each of them, so that the work of
-	// an owner is bounded. Delegations are short, because what is delegated to an owner that
-	// crashes is unavailable until they expire.
+	// an owner is bounded. Delegations are short, because what is delegated to an
+	// owner that crashes is unavailable until they expire.
 	minInterval      = 250 * time.Millisecond
 	intervalPerEntry = 2 * time.Millisecond
 	// ttlRounds is how many rounds a delegation lasts, so that one lost message does
@@ -48,7 +48,8 @@
 	// Started is when this process started. The entry's previous process may have
 	// delegated the same share a moment earlier.
 	Started time.Time
-	// FormerOwners are the entries that may have been owners then.
+	// FormerOwners are the entries that may have been owners when the entry's previous
+	// process delegated its share.
 	FormerOwners []instance.ID
 
 	// reported are the slots of this entry's share that the processes on other
@@ -168,7 +169,7 @@
 		}
 	}
 
-	return !known || at.Sub(old.at) > minInterval*2 //nolint:mnd // Two rounds.
+	return !known || at.Sub(old.at) > minInterval*2 //nolint:mnd // Two rounds of the shortest interval.
 }
 
 // OwnerEnded deletes the delegations to an owner's process that has ended or has
--- a/internal/customer/team/team.go
+++ b/internal/customer/team/team.go
@@ -27,7 +27,8 @@
 type Limit struct {
 	// PerSecond is in units per second. Zero means unlimited.
 	PerSecond float64
-	// Burst is how many units may be used at once in addition to that.
+	// Burst is the capacity of the team's token bucket: how many units may be used at
+	// once when it is full.
 	Burst float64
 	Unit  Unit
 	// DefaultCost is the cost of a request that states no number of tokens, if the
--- a/internal/fleet/instance/instance.go
+++ b/internal/fleet/instance/instance.go
@@ -73,7 +73,7 @@
 	return ranked
 }
 
-// Score returns the rendezvous weight of id for key.
+// Score returns the rendezvous hash of id for key.
 func Score(key string, id ID) uint64 {
 	return mix(xxhash.Sum64String(key) ^ mix(xxhash.Sum64String(string(id))))
 }
--- a/internal/fleet/inventory/inventory.go
+++ b/internal/fleet/inventory/inventory.go
@@ -76,8 +76,8 @@
 	recoveryGrace = 1700 * time.Millisecond
 	// minOutage is how long this process must have seen the store fail for missing rows
 	// to count as expired by the outage. Rows expire after three missed heartbeats of
-	// 1.2 s, but a process that does not read the store often may notice the failure up
-	// to three seconds late.
+	// 1.2 s, that is after 3.6 s. A process that seldom reads the store may notice the
+	// failure up to three seconds late, and then has seen only 0.6 s of it by that time.
 	minOutage = 500 * time.Millisecond
 )
 
@@ -147,8 +147,8 @@
 	r.Apply(all, now)
 }
 
-// remove drops a target, at once unless its row may have expired during an outage
-// of the store.
+// remove drops a target, at once if it is leaving or if its row cannot have expired
+// during an outage of the store, otherwise when recoveryGrace has passed.
 //
 // After an outage all targets appear to be gone: their rows expired while no
 // instance could write. Dropping them would refuse every request until they had
--- a/internal/fleet/membership/roll.go
+++ b/internal/fleet/membership/roll.go
@@ -59,20 +59,22 @@
 
 const (
 	// FullMeshLimit is the largest number of members at which an entry gossips with all
-	// of them in every round. Up to this size such a round costs less than is saved by
-	// sending digests instead of whole lists.
+	// of them in every round. Up to this size, contacting all members costs less than
+	// sending digests instead of whole lists saves.
 	FullMeshLimit = 12
 	// fanOut is the number of members contacted in a round of a larger membership: a
 	// heartbeat then reaches 1,200 members in five rounds.
 	fanOut = 4
 	// deadAfter is how long a member of a small membership counts as alive after its
-	// last heartbeat: slightly longer than two rounds, so that two may be lost. In a
-	// large one a heartbeat takes some rounds to arrive, so deadAfterLarge applies.
+	// last heartbeat: more than two rounds and less than three, so that the heartbeats
+	// of one round may be lost. In a large one a heartbeat takes some rounds to arrive,
+	// so deadAfterLarge applies.
 	deadAfter      = 4 * time.Second
 	deadAfterLarge = 9 * time.Second
-	// retention is how long a member stays on the list after its last heartbeat, and
-	// how long its tombstone is retained after that, so that entries that still list
-	// the process do not bring it back.
+	// retention is how long a member stays on the list after it was listed or, if that
+	// is later, after its last heartbeat. It is also how long the tombstone of a removed
+	// process is retained, so that entries that still list the process do not bring it
+	// back.
 	retention = 30 * time.Second
 )
 
@@ -82,7 +84,8 @@
 
 	// hash is the hash of its process.
 	hash uint64
-	// lastHeartbeat is when its heartbeat last grew, and listedAt when it was listed.
+	// lastHeartbeat is when its heartbeat last grew or this entry was last in direct
+	// contact with it. listedAt is when it was listed.
 	lastHeartbeat, listedAt time.Time
 }
 
@@ -384,8 +387,8 @@
 	return !s.Leaving && now.Sub(s.lastHeartbeat) < limit
 }
 
-// AliveOrNew returns the members that are alive, and those that were listed recently
-// and have not sent a heartbeat yet.
+// AliveOrNew returns the members that are alive, and those not leaving that were listed
+// less than deadAfter ago and have not sent a heartbeat since.
 func (l *List) AliveOrNew(now time.Time) []Member {
 	return l.filter(func(s *memberState) bool {
 		return l.alive(s, now) || !s.Leaving && s.lastHeartbeat.IsZero() && now.Sub(s.listedAt) < deadAfter
--- a/internal/fleet/membership/roll_test.go
+++ b/internal/fleet/membership/roll_test.go
@@ -20,8 +20,8 @@
 	t     *testing.T
 	now   time.Time
 	lists map[instance.ID]*List
-	// exchanges counts all exchanges, differing those between entries whose lists
-	// differ, and sent the members that were sent in full.
+	// exchanges counts all exchanges. differing counts the exchanges between entries
+	// whose lists differ. sent counts the members that were sent in full.
 	exchanges, differing, sent int
 }
 
--- a/internal/fleet/peer/set.go
+++ b/internal/fleet/peer/set.go
@@ -180,11 +180,12 @@
 	return in, ok
 }
 
-// ListedAt returns when the list was last read.
+// ListedAt returns when the list of instances was last read.
 func (s *Set) ListedAt() time.Time { return s.members().lastReadAt }
 
 // Gone reports whether the instance has been missing from the list for longer than
-// the list lags.
+// ListLag. An instance that was never listed counts as missing since the first read
+// of the list; before that read none counts as gone.
 func (s *Set) Gone(id instance.ID, now time.Time) bool {
 	m := s.members()
 	if m.lastReadAt.IsZero() {
--- a/internal/fleet/target/engine.go
+++ b/internal/fleet/target/engine.go
@@ -24,7 +24,7 @@
 	Submit(ctx context.Context, o Order) (Inventory, error)
 	// Inventory returns the engine's current inventory.
 	Inventory(ctx context.Context) (Inventory, error)
-	// Report returns the engine's load, which lags behind.
+	// Report returns the engine's load as last measured, which may be out of date.
 	Report(ctx context.Context) (Report, error)
 	// Events returns the cache events numbered above after. Numbers may be missing.
 	Events(ctx context.Context, after uint64) ([]CacheEvent, error)
@@ -136,7 +136,7 @@
 	Role     string
 	Leaving  bool
 	Resident []ResidentModel
-	// Cached maps the checkpoints that load from local memory or disk to their tier.
+	// Cached gives the tier of each checkpoint that is cached in local memory or on disk.
 	Cached map[string]Tier
 }
 
@@ -156,7 +156,7 @@
 	At      time.Time
 	Running int
 	Waiting int
-	// Slots is how many generations run together.
+	// Slots is the largest number of generations that can run at the same time.
 	Slots   int
 	Leaving bool
 }
