--- a/internal/customer/quota/lender.go
+++ b/internal/customer/quota/lender.go
@@ -172,9 +172,9 @@
 	return !known || at.Sub(old.at) > minInterval*2 //nolint:mnd // Two rounds of the shortest interval.
 }
 
-// OwnerEnded deletes the delegations to an owner's process that has ended or has
+// ForgetOwner deletes the delegations to an owner's process that has ended or has
 // released them all, so that their slots can be delegated again.
-func (d *Delegator) OwnerEnded(owner Process) {
+func (d *Delegator) ForgetOwner(owner Process) {
 	delete(d.clocks, owner)
 
 	for slot := range d.bySlot {
--- a/internal/customer/quota/quota_test.go
+++ b/internal/customer/quota/quota_test.go
@@ -382,7 +382,7 @@
 			for _, e := range f.entries[1:] {
 				e.choice = 1
 				if known {
-					e.delegator.OwnerEnded(dead)
+					e.delegator.ForgetOwner(dead)
 				}
 			}
 
--- a/internal/fleet/node/lending.go
+++ b/internal/fleet/node/lending.go
@@ -216,6 +216,6 @@
 // ownerEnded records that an owner's process has ended or is stopping. The
 // caller holds the lock.
 func (q *quotas) ownerEnded(owner quota.Process) {
-	q.delegator.OwnerEnded(owner)
+	q.delegator.ForgetOwner(owner)
 	signal(q.roundSoon)
 }
