--- a/internal/customer/list/list_test.go
+++ b/internal/customer/list/list_test.go
@@ -35,7 +35,7 @@
 			wg sync.WaitGroup
 		)
 
-		s := Store{Table: &p}
+		s := Lists{Table: &p}
 
 		for o := range operators {
 			wg.Go(func() {
@@ -92,7 +92,7 @@
 	put := Put{WriteID: "w", Author: "o", Changes: []plan.Change{allow("m")}}
 
 	t.Run("conflict shows the other's edit", func(t *testing.T) {
-		s := Store{Table: &platform.Platform{}}
+		s := Lists{Table: &platform.Platform{}}
 		_, err := s.Put(t.Context(), Put{WriteID: "other", Author: "rival", Changes: []plan.Change{allow("n")}})
 		assert.NilError(t, err)
 
@@ -105,7 +105,7 @@
 	})
 
 	t.Run("a retry is harmless", func(t *testing.T) {
-		s := Store{Table: &platform.Platform{}}
+		s := Lists{Table: &platform.Platform{}}
 		first, err := s.Put(t.Context(), put)
 		assert.NilError(t, err)
 
@@ -121,7 +121,7 @@
 	t.Run("in doubt while the store is unavailable", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			p := &platform.Platform{}
-			s := Store{Table: &downAfterWrite{Platform: p}}
+			s := Lists{Table: &downAfterWrite{Platform: p}}
 
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
--- a/internal/customer/list/store.go
+++ b/internal/customer/list/store.go
@@ -13,8 +13,8 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/record"
 )
 
-// Store reads and edits the lists in the platform's store.
-type Store struct{ Table table.Service }
+// Lists reads and edits the lists in the platform's store.
+type Lists struct{ Table table.Service }
 
 // ConflictError says that an edit was based on an old version and was not accepted.
 type ConflictError struct {
@@ -55,7 +55,7 @@
 // if the outcome is unknown. Any other error means that the current version could not
 // be read and that this call wrote nothing. An edit that was accepted before, as its
 // WriteID shows, is not applied again.
-func (s *Store) Put(ctx context.Context, p Put) (plan.Edit, error) {
+func (s *Lists) Put(ctx context.Context, p Put) (plan.Edit, error) {
 	current, row, err := s.version(ctx)
 	if err != nil {
 		return plan.Edit{}, err
@@ -87,7 +87,7 @@
 // Resolve finds the outcome of a put that was based on an old version, without
 // putting anything: it returns the edit if the put was accepted, and a
 // *ConflictError otherwise.
-func (s *Store) Resolve(ctx context.Context, p Put) (plan.Edit, error) {
+func (s *Lists) Resolve(ctx context.Context, p Put) (plan.Edit, error) {
 	current, _, err := s.version(ctx)
 	if err != nil {
 		return plan.Edit{}, err
@@ -98,7 +98,7 @@
 
 // resolveStale finds out whether an edit based on an old version repeats one that
 // was accepted. It compares only the first maxHistory edits after Base.
-func (s *Store) resolveStale(ctx context.Context, p Put, current uint64) (plan.Edit, error) {
+func (s *Lists) resolveStale(ctx context.Context, p Put, current uint64) (plan.Edit, error) {
 	since, err := s.History(ctx, p.Base, maxHistory)
 	if err != nil {
 		return plan.Edit{}, &InDoubtError{WriteID: p.WriteID, Err: err}
@@ -154,13 +154,13 @@
 }
 
 // Version returns the lists' version in the platform's store.
-func (s *Store) Version(ctx context.Context) (uint64, error) {
+func (s *Lists) Version(ctx context.Context) (uint64, error) {
 	v, _, err := s.version(ctx)
 
 	return v, err
 }
 
-func (s *Store) version(ctx context.Context) (version, row uint64, err error) {
+func (s *Lists) version(ctx context.Context) (version, row uint64, err error) {
 	rows, err := s.Table.Read(ctx, record.VersionKey)
 	if err != nil {
 		return 0, 0, err
@@ -172,7 +172,7 @@
 }
 
 // History returns at most limit edits after the version, oldest first.
-func (s *Store) History(ctx context.Context, after uint64, limit int) ([]plan.Edit, error) {
+func (s *Lists) History(ctx context.Context, after uint64, limit int) ([]plan.Edit, error) {
 	rows, err := s.Table.Scan(ctx, record.HistoryPrefix, record.EditKey(after), limit)
 	if err != nil {
 		return nil, err
@@ -192,7 +192,7 @@
 // Load reads the whole lists. An edit that is accepted during the read may or may
 // not be included. Applying it again is harmless, so the state gets the version
 // that was read first.
-func (s *Store) Load(ctx context.Context) (plan.State, error) {
+func (s *Lists) Load(ctx context.Context) (plan.State, error) {
 	version, _, err := s.version(ctx)
 	if err != nil {
 		return plan.State{}, err
--- a/internal/fleet/entry/entry.go
+++ b/internal/fleet/entry/entry.go
@@ -64,7 +64,7 @@
 
 	log      timeline.Log
 	lists    list.Cache
-	store    list.Store
+	store    list.Lists
 	table    router.Table
 	cells    []*cell.Cell
 	dispatch *dispatch.Dispatcher
@@ -123,7 +123,7 @@
 	e.metrics, e.exporter = newMetrics()
 	e.log.Instance, e.log.Process = cfg.ID, e.process
 	e.platform = &platform.Client{Address: cfg.Platform, HTTP: e.httpClient(platformConns)}
-	e.store = list.Store{Table: e.platform}
+	e.store = list.Lists{Table: e.platform}
 	e.fleet = &peer.Set{Self: cfg.ID, Timing: peer.DefaultTiming()}
 	e.fleet.Timing.ListLag = cfg.ListLag
 
--- a/internal/standin/trial/demo.go
+++ b/internal/standin/trial/demo.go
@@ -106,7 +106,7 @@
 		}
 	}
 
-	store := list.Store{Table: t.platform}
+	store := list.Lists{Table: t.platform}
 	_, err := store.Put(ctx, list.Put{WriteID: "demo", Author: "trial", At: time.Now(), Changes: changes})
 
 	return err
