--- a/internal/fleet/entry/members.go
+++ b/internal/fleet/entry/members.go
@@ -73,7 +73,7 @@
 			return
 		}
 
-		first := e.fleet.ListedAt().IsZero()
+		first := e.fleet.ListReadAt().IsZero()
 
 		all, err := e.platform.Instances(ctx)
 		if err == nil {
--- a/internal/fleet/entry/serve.go
+++ b/internal/fleet/entry/serve.go
@@ -93,7 +93,7 @@
 		return "the lists are not loaded yet"
 	case now.Sub(time.Unix(0, e.freshAt.Load())) > freshness:
 		return "cut off: the lists may be out of date"
-	case e.fleet.ListedAt().IsZero():
+	case e.fleet.ListReadAt().IsZero():
 		return "the list of instances is not loaded yet"
 	}
 
--- a/internal/fleet/peer/set.go
+++ b/internal/fleet/peer/set.go
@@ -180,8 +180,8 @@
 	return in, ok
 }
 
-// ListedAt returns when the list of instances was last read.
-func (s *Set) ListedAt() time.Time { return s.members().lastReadAt }
+// ListReadAt returns when the list of instances was last read.
+func (s *Set) ListReadAt() time.Time { return s.members().lastReadAt }
 
 // Gone reports whether the instance has been missing from the list for longer than
 // ListLag. An instance that was never listed counts as missing since the first read
@@ -220,12 +220,12 @@
 	return out
 }
 
-// FinishedWith reports whether the process that ran on the instance is proved to hold
+// ProvedIdle reports whether the process that ran on the instance is proved to hold
 // no lease of the cell and to have no order in flight for it. The proof is one of: a
 // status of that process, received after since, that reports neither; a status of
 // another process on the instance, received after since; the instance's absence from
 // the list for longer than the list lags.
-func (s *Set) FinishedWith(id instance.ID, process string, cell int, since, now time.Time) bool {
+func (s *Set) ProvedIdle(id instance.ID, process string, cell int, since, now time.Time) bool {
 	if s.Gone(id, now) {
 		return true
 	}
@@ -235,7 +235,7 @@
 		return false
 	}
 
-	return last.Process != process || last.FinishedWith(cell)
+	return last.Process != process || last.ProvedIdle(cell)
 }
 
 // LastStatus returns the last status of a peer and when it was received.
--- a/internal/fleet/peer/set_test.go
+++ b/internal/fleet/peer/set_test.go
@@ -80,7 +80,7 @@
 				s.Receive(*tc.status, tc.at)
 			}
 
-			assert.Equal(t, s.FinishedWith("b", "p", 3, takeover, after(12)), tc.want)
+			assert.Equal(t, s.ProvedIdle("b", "p", 3, takeover, after(12)), tc.want)
 		})
 	}
 }
--- a/internal/fleet/peer/status.go
+++ b/internal/fleet/peer/status.go
@@ -51,9 +51,9 @@
 	Clock               timeline.Stamp
 }
 
-// FinishedWith reports whether the process neither holds the cell's lease nor has an
+// ProvedIdle reports whether the process neither holds the cell's lease nor has an
 // order in flight for the cell.
-func (s *Status) FinishedWith(cell int) bool {
+func (s *Status) ProvedIdle(cell int) bool {
 	holds := slices.ContainsFunc(s.Leases, func(l Lease) bool { return l.Cell == cell })
 
 	return !holds && !slices.Contains(s.OrdersInFlight, cell)
--- a/internal/placement/cell/orders.go
+++ b/internal/placement/cell/orders.go
@@ -391,7 +391,7 @@
 		return true
 	}
 
-	return t.cfg.Fleet.FinishedWith(r.Holder, r.Process, t.cfg.Cell, t.since, now)
+	return t.cfg.Fleet.ProvedIdle(r.Holder, r.Process, t.cfg.Cell, t.since, now)
 }
 
 // background runs f for the row in a goroutine. Until f returns, no other
