--- a/internal/placement/holder/decide.go
+++ b/internal/placement/holder/decide.go
@@ -163,7 +163,7 @@
 
 func (h *Holder) orderModels(ctx context.Context, service string, e *route.Engine, demands []keyDemand, inUse usage, now time.Time) {
 	input := &swap.Snapshot{
-		Now: now, Engine: e, Demands: sumByModel(service, demands), Rate: h.shortRates.perSecond, LongTermRate: h.longRates.perSecond, PromisedSince: h.predictedSince(service), FreeStoreLoads: int(h.storeCapacity(service).fullSpeed()),
+		Now: now, Engine: e, Demands: sumByModel(service, demands), Rate: h.shortRates.perSecond, LongTermRate: h.longRates.perSecond, PredictedSince: h.predictedSince(service), FreeStoreLoads: int(h.storeCapacity(service).fullSpeed()),
 	}
 	for id, eng := range h.engines {
 		if eng.target.Service != service {
@@ -317,7 +317,7 @@
 	}
 
 	for model, resident := range eng.models {
-		t.Models = append(t.Models, swap.ResidentModel{
+		t.Resident = append(t.Resident, swap.ResidentModel{
 			Model: model, Running: uses[model], LastUsed: resident.used, Loading: now.Before(resident.ready),
 		})
 	}
--- a/internal/placement/swap/exhaustive_test.go
+++ b/internal/placement/swap/exhaustive_test.go
@@ -28,7 +28,7 @@
 			case r.IntN(4) == 0:
 				t = t.withDisk(fmt.Sprint("m", m))
 			case m >= 5 && r.IntN(2) == 0:
-				t.Models = append(t.Models, ResidentModel{Model: fmt.Sprint("m", m), LastUsed: now.Add(-time.Minute)})
+				t.Resident = append(t.Resident, ResidentModel{Model: fmt.Sprint("m", m), LastUsed: now.Add(-time.Minute)})
 			}
 		}
 
--- a/internal/placement/swap/room.go
+++ b/internal/placement/swap/room.go
@@ -44,7 +44,7 @@
 // adapters, in MB.
 func (d *decider) freeMB(t *Target) float64 {
 	free := d.usableMB
-	for _, r := range t.Models {
+	for _, r := range t.Resident {
 		free -= d.Engine.Models[r.Model].MB
 	}
 
@@ -110,7 +110,7 @@
 func (d *decider) victims(t *Target) []victim {
 	var out []victim
 
-	for _, r := range t.Models {
+	for _, r := range t.Resident {
 		if r.Loading || d.Now.Sub(r.LastUsed) < minIdleTime || d.demandOf[r.Model].Waiting > 0 {
 			continue
 		}
--- a/internal/placement/swap/store.go
+++ b/internal/placement/swap/store.go
@@ -96,7 +96,7 @@
 // promisedSince returns the time since which clients have been given a ready
 // time for the model, or now if they have not.
 func (d *decider) promisedSince(model string) time.Time {
-	if since, ok := d.PromisedSince[model]; ok {
+	if since, ok := d.PredictedSince[model]; ok {
 		return since
 	}
 
--- a/internal/placement/swap/store_test.go
+++ b/internal/placement/swap/store_test.go
@@ -106,9 +106,9 @@
 func TestEarliestPromiseFirst(t *testing.T) {
 	v := &Snapshot{
 		Now: now, Engine: engine(4), Targets: []Target{targetWith("a", "m3")}, FreeStoreLoads: 1, Demands: []Demand{waiting("m1"), waiting("m2")},
-		Rate:          map[string]float64{"m0": 0.05, "m1": 0.16, "m2": 0.16},
-		LongTermRate:  map[string]float64{"m0": 0.2, "m1": 0.05, "m2": 0.05},
-		PromisedSince: map[string]time.Time{"m0": now.Add(-5 * time.Second)},
+		Rate:           map[string]float64{"m0": 0.05, "m1": 0.16, "m2": 0.16},
+		LongTermRate:   map[string]float64{"m0": 0.2, "m1": 0.05, "m2": 0.05},
+		PredictedSince: map[string]time.Time{"m0": now.Add(-5 * time.Second)},
 	}
 
 	decisions := Decide(v)
--- a/internal/placement/swap/swap.go
+++ b/internal/placement/swap/swap.go
@@ -39,8 +39,8 @@
 	// OrderEndsIn is the predicted time until the order in flight ends.
 	OrderEndsIn time.Duration
 	// Serving reports that entries send requests there.
-	Serving bool
-	Models  []ResidentModel
+	Serving  bool
+	Resident []ResidentModel
 	// Cached is, for each model, the fastest tier of the target that has its
 	// weights. A model that is missing is loaded from the weight store.
 	Cached map[string]target.Tier
@@ -73,9 +73,9 @@
 	// LongTermRate is the same rate over a longer window, for loads whose benefit
 	// should last.
 	LongTermRate map[string]float64
-	// PromisedSince is, for each model that the weight store could not load yet,
+	// PredictedSince is, for each model that the weight store could not load yet,
 	// the time since which clients have been given a ready time.
-	PromisedSince map[string]time.Time
+	PredictedSince map[string]time.Time
 	// LossRisk is the probability that a target is lost before its models have
 	// another replica.
 	LossRisk float64
@@ -202,7 +202,7 @@
 		total += len(t.Cached)
 		serving++
 
-		for _, r := range t.Models {
+		for _, r := range t.Resident {
 			d.replicas[r.Model]++
 
 			if t.Cached[r.Model] == 0 {
@@ -280,7 +280,7 @@
 }
 
 func holds(t *Target, model string) bool {
-	return slices.ContainsFunc(t.Models, func(r ResidentModel) bool { return r.Model == model })
+	return slices.ContainsFunc(t.Resident, func(r ResidentModel) bool { return r.Model == model })
 }
 
 // evictionWeight converts the eviction of a model into seconds of delay:
--- a/internal/placement/swap/swap_test.go
+++ b/internal/placement/swap/swap_test.go
@@ -34,7 +34,7 @@
 func targetWith(id instance.ID, models ...string) Target {
 	t := Target{ID: id, AcceptsOrders: true, Serving: true, Cached: map[string]target.Tier{}}
 	for _, m := range models {
-		t.Models = append(t.Models, ResidentModel{Model: m, LastUsed: now.Add(-time.Minute)})
+		t.Resident = append(t.Resident, ResidentModel{Model: m, LastUsed: now.Add(-time.Minute)})
 	}
 
 	return t
@@ -60,11 +60,11 @@
 	long.OrderEndsIn = 9 * time.Second
 
 	running := targetWith("a", "m0", "m1", "m2")
-	running.Models[0].Running = 1
+	running.Resident[0].Running = 1
 
 	allRun := targetWith("a", "m0", "m1", "m2").withDisk("m3")
-	for i := range allRun.Models {
-		allRun.Models[i].Running = 1
+	for i := range allRun.Resident {
+		allRun.Resident[i].Running = 1
 	}
 
 	waitMany := waiting("m3")
@@ -207,9 +207,9 @@
 			one := targetWith(instance.ID(fmt.Sprintf("t%d", i)), resident...).withDisk(rapid.SliceOfN(models, 0, 5).Draw(t, "disk")...)
 			one.AcceptsOrders = rapid.Bool().Draw(t, "free")
 
-			for j := range one.Models {
-				one.Models[j].Running = rapid.IntRange(0, 2).Draw(t, "running")
-				one.Models[j].Loading = rapid.Bool().Draw(t, "coming") && !one.AcceptsOrders
+			for j := range one.Resident {
+				one.Resident[j].Running = rapid.IntRange(0, 2).Draw(t, "running")
+				one.Resident[j].Loading = rapid.Bool().Draw(t, "coming") && !one.AcceptsOrders
 			}
 
 			v.Targets = append(v.Targets, one)
@@ -231,7 +231,7 @@
 			seen[s.Target] = true
 
 			assert.Assert(t, !holds(&at, s.Load))
-			assert.Assert(t, len(at.Models)-len(s.Unload)+1 <= 3)
+			assert.Assert(t, len(at.Resident)-len(s.Unload)+1 <= 3)
 
 			for _, u := range s.Unload {
 				assert.Assert(t, holds(&at, u))
@@ -284,7 +284,7 @@
 			for i := range size.targets {
 				one := targetWith(instance.ID(fmt.Sprintf("t%04d", i)))
 				for j := range 3 {
-					one.Models = append(one.Models, ResidentModel{Model: fmt.Sprintf("m%d", (i*3+j)%size.models), LastUsed: now.Add(-time.Minute)})
+					one.Resident = append(one.Resident, ResidentModel{Model: fmt.Sprintf("m%d", (i*3+j)%size.models), LastUsed: now.Add(-time.Minute)})
 				}
 
 				for j := range 20 {
