--- a/internal/placement/holder/confirm.go
+++ b/internal/placement/holder/confirm.go
@@ -65,7 +65,7 @@
 	// A report with a lower sequence predates the order of the load.
 	current := err == nil && r.Sequence >= eng.sequence
 
-	switch ended := slices.ContainsFunc(r.Held, func(held inventory.ResidentModel) bool { return held.Model == eng.storeLoadModel }); {
+	switch ended := slices.ContainsFunc(r.Resident, func(held inventory.ResidentModel) bool { return held.Model == eng.storeLoadModel }); {
 	case current && ended:
 		if resident := eng.models[eng.storeLoadModel]; resident != nil {
 			resident.ready = now
--- a/internal/placement/holder/orders.go
+++ b/internal/placement/holder/orders.go
@@ -303,6 +303,6 @@
 	}
 
 	eng.applyReport(r, now)
-	h.cfg.Log.Info().Str("target", string(eng.origin.ID)).Uint64("sequence", r.Sequence).Int("models", len(r.Held)).Bool("busy", r.Busy).Msg("engine reported")
+	h.cfg.Log.Info().Str("target", string(eng.origin.ID)).Uint64("sequence", r.Sequence).Int("models", len(r.Resident)).Bool("busy", r.Busy).Msg("engine reported")
 	h.published = false
 }
--- a/internal/placement/holder/snapshot.go
+++ b/internal/placement/holder/snapshot.go
@@ -136,7 +136,7 @@
 	Born     int64
 	Busy     bool
 	Sequence uint64
-	Held     []inventory.ResidentModel
+	Resident []inventory.ResidentModel
 	// Pending are adapters that are being loaded, as model/adapter.
 	Pending []string
 }
--- a/internal/placement/holder/station.go
+++ b/internal/placement/holder/station.go
@@ -236,9 +236,9 @@
 
 // applyReport replaces the record by the engine's own report.
 func (eng *trackedEngine) applyReport(r Report, now time.Time) {
-	models := make(map[string]*trackedModel, len(r.Held))
+	models := make(map[string]*trackedModel, len(r.Resident))
 
-	for _, m := range r.Held {
+	for _, m := range r.Resident {
 		old := eng.models[m.Model]
 		if old == nil {
 			old = &trackedModel{}
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -243,7 +243,7 @@
 
 	w.start()
 
-	return holder.Report{Busy: w.busy, Sequence: w.sequence, Held: w.list()}
+	return holder.Report{Busy: w.busy, Sequence: w.sequence, Resident: w.list()}
 }
 
 func (w *Worker) list() []inventory.ResidentModel {
