--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -219,7 +219,7 @@
 
 // Run serves until ctx ends, then stops gracefully.
 func (n *Node) Run(ctx context.Context) error {
-	listen := net.ListenConfig{KeepAliveConfig: relay.KeepAliveConfig(), Control: relay.Control}
+	listen := net.ListenConfig{KeepAliveConfig: relay.KeepAliveConfig(), Control: relay.SetUserTimeout}
 
 	callers, err := listen.Listen(ctx, "tcp", n.cfg.Callers.String())
 	if err != nil {
@@ -336,7 +336,7 @@
 
 	n.relay.EnterPhase(relay.RefusingNewStreams)
 
-	ending := time.AfterFunc(n.cfg.Grace-streamMargin-time.Since(began), func() { n.relay.EnterPhase(relay.RefusingUnstartedStreams) })
+	ending := time.AfterFunc(n.cfg.Grace-streamMargin-time.Since(began), func() { n.relay.EnterPhase(relay.RefusingUnstarted) })
 	defer ending.Stop()
 
 	if err := front.Shutdown(ctx); err != nil {
--- a/internal/serving/relay/conn.go
+++ b/internal/serving/relay/conn.go
@@ -214,12 +214,12 @@
 	return net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveCount}
 }
 
-// Control sets a limit on how long sent bytes may stay unacknowledged on a
+// SetUserTimeout sets a limit on how long sent bytes may stay unacknowledged on a
 // socket.
 //
 // A partition can break a connection without a reset. Without this limit, a
 // write would then block for minutes.
-func Control(_, _ string, c syscall.RawConn) error {
+func SetUserTimeout(_, _ string, c syscall.RawConn) error {
 	var optErr error
 
 	err := c.Control(func(fd uintptr) {
@@ -231,7 +231,7 @@
 
 // Dialer returns a dialer whose connections detect an unresponsive other end.
 func Dialer(timeout time.Duration) *net.Dialer {
-	return &net.Dialer{Timeout: timeout, KeepAliveConfig: KeepAliveConfig(), Control: Control}
+	return &net.Dialer{Timeout: timeout, KeepAliveConfig: KeepAliveConfig(), Control: SetUserTimeout}
 }
 
 // Dial opens a connection to a target.
--- a/internal/serving/relay/deliver.go
+++ b/internal/serving/relay/deliver.go
@@ -103,7 +103,7 @@
 }
 
 func (d *delivery) acquire(ctx context.Context) (*router.Target, error) {
-	if d.reached(RefusingUnstartedStreams) && !d.headSent && d.route.Kind == route.Stream {
+	if d.reached(RefusingUnstarted) && !d.headSent && d.route.Kind == route.Stream {
 		return nil, shutdownRefusal()
 	}
 
@@ -151,7 +151,7 @@
 // mayRetry reports whether the request may be retried after err.
 func (d *delivery) mayRetry(ctx context.Context, err error) bool {
 	var clientErr *clientError
-	if errors.As(err, &clientErr) || ctx.Err() != nil || d.attemptLog.Count() >= maxAttempts || d.reached(RefusingUnstartedStreams) && !d.headSent {
+	if errors.As(err, &clientErr) || ctx.Err() != nil || d.attemptLog.Count() >= maxAttempts || d.reached(RefusingUnstarted) && !d.headSent {
 		return false
 	}
 
@@ -212,7 +212,7 @@
 	}
 
 	for !d.Budgets.TryDebit(d.service, time.Now()) {
-		if d.reached(RefusingUnstartedStreams) && !d.headSent {
+		if d.reached(RefusingUnstarted) && !d.headSent {
 			return shutdownRefusal()
 		}
 
--- a/internal/serving/relay/relay_test.go
+++ b/internal/serving/relay/relay_test.go
@@ -566,7 +566,7 @@
 		f := newFixture(t, nil, route.Route{Kind: route.Stream, Timeout: time.Minute})
 		f.config.Services["s"] = route.Service{Name: "s", Engine: &route.Engine{}}
 
-		time.AfterFunc(time.Second, func() { f.server.EnterPhase(RefusingUnstartedStreams) })
+		time.AfterFunc(time.Second, func() { f.server.EnterPhase(RefusingUnstarted) })
 
 		began := time.Now()
 		rec, _ := f.do(t.Context(), "", "Model", "cold")
@@ -586,7 +586,7 @@
 		f := newFixture(t, func(_ int, _ call, w io.Writer, _ net.Conn) { writeAnswer(w, "503 Full", "Not-Run: 1\r\n", "") },
 			route.Route{Kind: route.Stream, Timeout: time.Minute, Goal: 10 * time.Second})
 		f.server.Budgets.SetLimit(RetryLimit{Burst: 1, Window: time.Hour})
-		time.AfterFunc(time.Second, func() { f.server.EnterPhase(RefusingUnstartedStreams) })
+		time.AfterFunc(time.Second, func() { f.server.EnterPhase(RefusingUnstarted) })
 
 		began := time.Now()
 		rec, _ := f.do(t.Context(), "", "Left", "60000")
--- a/internal/serving/relay/server.go
+++ b/internal/serving/relay/server.go
@@ -74,10 +74,10 @@
 	// cut off when the process ends; a client that is refused now still has time
 	// to use another entry.
 	RefusingNewStreams
-	// RefusingUnstartedStreams also refuses accepted streams that have sent nothing to
+	// RefusingUnstarted also refuses accepted streams that have sent nothing to
 	// their clients yet, all queued requests, and the retries of all requests whose
 	// answers have not begun.
-	RefusingUnstartedStreams
+	RefusingUnstarted
 )
 
 // EnterPhase moves to phase p. From RefusingUnstartedStreams on, it also refuses
@@ -86,7 +86,7 @@
 func (s *Server) EnterPhase(p Phase) {
 	s.phase.Store(int32(p))
 
-	if p < RefusingUnstartedStreams {
+	if p < RefusingUnstarted {
 		return
 	}
 
