--- a/internal/serving/claim/claim.go
+++ b/internal/serving/claim/claim.go
@@ -62,18 +62,18 @@
 	Process string
 }
 
-// Doubtful means that the request was sent and no answer was received. It may
+// OutcomeInDoubt means that the request was sent and no answer was received. It may
 // have run.
-type Doubtful struct{}
+type OutcomeInDoubt struct{}
 
 // KeyReused means that the key was used for a request with other content.
 type KeyReused struct{}
 
-func (Acquired) outcome()  {}
-func (Answered) outcome()  {}
-func (Pending) outcome()   {}
-func (Doubtful) outcome()  {}
-func (KeyReused) outcome() {}
+func (Acquired) outcome()       {}
+func (Answered) outcome()       {}
+func (Pending) outcome()        {}
+func (OutcomeInDoubt) outcome() {}
+func (KeyReused) outcome()      {}
 
 // Registry claims keys and stores answers.
 type Registry struct {
@@ -157,7 +157,7 @@
 	case Done:
 		return r.answered(ctx, row)
 	case InDoubt:
-		return Doubtful{}, nil
+		return OutcomeInDoubt{}, nil
 	case Claimed:
 	}
 
--- a/internal/serving/claim/claim_test.go
+++ b/internal/serving/claim/claim_test.go
@@ -147,7 +147,7 @@
 	// Sent, and no answer was received.
 	c := acquire("claim/c/doubt").(Acquired).Claim
 	assert.NilError(t, r.MarkInDoubt(t.Context(), c))
-	assert.DeepEqual(t, acquire("claim/c/doubt"), Doubtful{})
+	assert.DeepEqual(t, acquire("claim/c/doubt"), OutcomeInDoubt{})
 
 	// Nothing was sent, so a repeated request may run.
 	c = acquire("claim/c/none").(Acquired).Claim
--- a/internal/serving/gateway/service.go
+++ b/internal/serving/gateway/service.go
@@ -166,7 +166,7 @@
 			g.refuse(s.clientRequest, request.Refuse(request.KeyConflict, 0, "the key was used with another request"))
 
 			return
-		case claim.Doubtful:
+		case claim.OutcomeInDoubt:
 			g.refuse(s.clientRequest, inDoubt(0))
 
 			return
