--- a/internal/cli/member/member.go
+++ b/internal/cli/member/member.go
@@ -107,11 +107,11 @@
 	n := node.New(node.Config{
 		Self: s.Name, DataCentre: s.DataCentre, Callers: s.Callers, Readiness: s.Readiness, Peers: s.Peers, Metrics: s.Metrics, Seeds: s.Seeds, Strength: s.Strength,
 		ReadyPath: platform.ReadyPath, Source: store, Table: store, Engines: &platform.Engines{HTTP: client()},
-		Protocol: platform.Headers{}, Entries: unknownEntries, Allowance: s.Allowance, Slack: s.Slack, Grace: s.Grace, TurnPause: s.TurnPause,
+		Protocol: platform.Headers{}, AssumedEntries: unknownEntries, RetryLimit: s.Allowance, Slack: s.Slack, GracePeriod: s.Grace, TurnPause: s.TurnPause,
 		Log: log, Dropped: book.Dropped,
 	})
 
-	r := reloader{path: path, last: *s, log: log, apply: func(s *Settings) { n.Allow(s.Allowance) }}
+	r := reloader{path: path, last: *s, log: log, apply: func(s *Settings) { n.SetRetryLimit(s.Allowance) }}
 	go r.run(ctx)
 
 	return n.Run(ctx)
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -62,15 +62,15 @@
 	Protocol  relay.Protocol
 	// Strength is the share of a processor that this instance has.
 	Strength float64
-	// Entries is the number of entries assumed until the others are known.
-	Entries   int
-	Allowance relay.RetryLimit
+	// AssumedEntries is the number of entries assumed until the others are known.
+	AssumedEntries int
+	RetryLimit     relay.RetryLimit
 	// Slack is how far requests may exceed their teams' limits.
 	Slack quota.Slack
-	// Grace is how long a graceful shutdown may take. TurnPause is the minimum
+	// GracePeriod is how long a graceful shutdown may take. TurnPause is the minimum
 	// time between the orders of two successive lease holders.
-	Grace, TurnPause time.Duration
-	Log              zerolog.Logger
+	GracePeriod, TurnPause time.Duration
+	Log                    zerolog.Logger
 	// Dropped returns the number of log lines that were dropped; nil means
 	// none.
 	Dropped func() int64
@@ -162,7 +162,7 @@
 		routingChanged: make(chan struct{}, 1), reportSoon: make(chan struct{}, 1), reportIdle: make(chan struct{}, 1),
 		absences: make(map[holder.Missing]absence),
 	}
-	n.budgets.Limit = cfg.Allowance
+	n.budgets.Limit = cfg.RetryLimit
 	n.budgets.Started = time.Now()
 	n.budgets.SetEntries(worstCaseEntries)
 	n.workCtx, n.cancelWork = context.WithCancel(context.Background())
@@ -194,8 +194,8 @@
 	return n
 }
 
-// Allow replaces the limit on retries.
-func (n *Node) Allow(a relay.RetryLimit) { n.budgets.SetLimit(a) }
+// SetRetryLimit replaces the limit on retries.
+func (n *Node) SetRetryLimit(a relay.RetryLimit) { n.budgets.SetLimit(a) }
 
 // maxWaiting bounds the requests queued for one model on this entry.
 const maxWaiting = 256
@@ -322,7 +322,7 @@
 	n.quotas.release()
 	n.cfg.Log.Info().Int("running", n.relay.Running()).Msg("stopping")
 
-	ctx, cancel := context.WithTimeout(context.Background(), n.cfg.Grace-stopMargin)
+	ctx, cancel := context.WithTimeout(context.Background(), n.cfg.GracePeriod-stopMargin)
 	defer cancel()
 
 	// These must not delay the shutdown: if the store does not answer, the
@@ -336,7 +336,7 @@
 
 	n.relay.EnterPhase(relay.RefusingNewStreams)
 
-	ending := time.AfterFunc(n.cfg.Grace-streamMargin-time.Since(began), func() { n.relay.EnterPhase(relay.RefusingUnstarted) })
+	ending := time.AfterFunc(n.cfg.GracePeriod-streamMargin-time.Since(began), func() { n.relay.EnterPhase(relay.RefusingUnstarted) })
 	defer ending.Stop()
 
 	if err := front.Shutdown(ctx); err != nil {
@@ -389,7 +389,7 @@
 		return listed
 	}
 
-	return n.cfg.Entries
+	return n.cfg.AssumedEntries
 }
 
 // worstCaseEntries is the number of entries assumed to share limits, retries
@@ -403,7 +403,7 @@
 // stopped sending them, so that the shares together never exceed the budget.
 func (n *Node) retrySharers() int {
 	if listed := n.peers.listed(); listed > 0 {
-		return max(listed+1, n.cfg.Entries)
+		return max(listed+1, n.cfg.AssumedEntries)
 	}
 
 	return worstCaseEntries
--- a/internal/fleet/node/routing_test.go
+++ b/internal/fleet/node/routing_test.go
@@ -23,7 +23,7 @@
 // nodeWithEngines returns an entry that has engines and a holder's snapshot of
 // them.
 func nodeWithEngines(engines int) *Node {
-	n := New(Config{Self: "self", Entries: 1, Log: zerolog.New(io.Discard)})
+	n := New(Config{Self: "self", AssumedEntries: 1, Log: zerolog.New(io.Discard)})
 	n.routes.Store(route.NewTable(&route.Config{Version: 1, Services: map[string]route.Service{"s": {Name: "s", Engine: &route.Engine{Slots: 12}}}}))
 
 	n.targetsByID = make(map[instance.ID]inventory.Target)
--- a/internal/fleet/node/view_test.go
+++ b/internal/fleet/node/view_test.go
@@ -18,7 +18,7 @@
 
 // nodeWithoutStore returns an entry that does not read the store by itself.
 func nodeWithoutStore(id instance.ID) *Node {
-	return New(Config{Self: id, Entries: 1, Log: zerolog.Nop()})
+	return New(Config{Self: id, AssumedEntries: 1, Log: zerolog.Nop()})
 }
 
 func (n *Node) leaving() map[instance.ID]bool {
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -368,8 +368,8 @@
 	store := &platform.Store{Address: storeAt, HTTP: &http.Client{}}
 	n := node.New(node.Config{
 		Self: e.Name, DataCentre: "dc", Callers: at[0], Readiness: at[1], Peers: at[2], Metrics: at[3], ReadyPath: platform.ReadyPath,
-		Source: store, Table: store, Engines: &platform.Engines{HTTP: &http.Client{}}, Protocol: platform.Headers{}, Entries: 2,
-		Allowance: relay.RetryLimit{Ratio: 0.2, Burst: 54, Window: 10 * time.Second}, Grace: grace, TurnPause: turnPause, //nolint:mnd // As on the users' sites.
+		Source: store, Table: store, Engines: &platform.Engines{HTTP: &http.Client{}}, Protocol: platform.Headers{}, AssumedEntries: 2,
+		RetryLimit: relay.RetryLimit{Ratio: 0.2, Burst: 54, Window: 10 * time.Second}, GracePeriod: grace, TurnPause: turnPause, //nolint:mnd // As on the users' sites.
 		Log: zerolog.New(log).With().Timestamp().Str("node", string(e.Name)).Logger(),
 	})
 
