--- a/internal/fleet/node/calls.go
+++ b/internal/fleet/node/calls.go
@@ -12,23 +12,24 @@
 	"github.com/fulmarcross/fulmarcross/internal/platform/table"
 )
 
-// call is the purpose of a call to the platform's store.
-type call string
+// purpose is what a call to the platform's store is for.
+type purpose string
 
 // The purposes of calls to the store.
 const (
-	callConfig  call = "config"
-	callTargets call = "targets"
-	callLease   call = "lease"
-	callEntries call = "entries"
+	purposeConfig  purpose = "config"
+	purposeTargets purpose = "targets"
+	purposeLease   purpose = "lease"
+	purposeEntries purpose = "entries"
 )
 
-// cause is the reason for a call to the store.
+// cause is why a call to the store is made.
 type cause string
 
 // The causes of calls.
 const (
-	// causeStart is for reads of data that the process has not read yet.
+	// causeStart is for reads of data that the process has not read yet, unless
+	// it holds the lease, and for all calls for the entries' rows.
 	causeStart cause = "start"
 	// causeHolding is for calls of the holder, on which the other entries rely.
 	causeHolding cause = "holding"
@@ -51,16 +52,16 @@
 	}
 }
 
-// countRead counts a read of the store by an entry whose data is as of a
-// version; zero means that it has none.
-func (n *Node) countRead(purpose call, s pollState, after uint64) {
+// countRead counts a read of the store for changes after a version; zero means
+// that this entry has no data yet.
+func (n *Node) countRead(p purpose, s pollState, after uint64) {
 	if after == 0 && !s.holding {
-		n.calls.count(purpose, causeStart)
+		n.calls.count(p, causeStart)
 
 		return
 	}
 
-	n.calls.count(purpose, s.cause())
+	n.calls.count(p, s.cause())
 }
 
 // calls counts the calls to the platform's store, which are charged for. Set
@@ -71,9 +72,9 @@
 	metrics tally.Scope
 }
 
-func (c *calls) count(purpose call, reason cause) {
-	c.metrics.Tagged(map[string]string{"call": string(purpose), "cause": string(reason)}).Counter("store_calls").Inc(1)
-	c.add(string(purpose)+" "+string(reason), 1)
+func (s *calls) count(p purpose, c cause) {
+	s.metrics.Tagged(map[string]string{"call": string(p), "cause": string(c)}).Counter("store_calls").Inc(1)
+	s.add(string(p)+" "+string(c), 1)
 }
 
 // callsLogInterval is the time between two log lines with the counts so far.
@@ -108,19 +109,19 @@
 	return sum
 }
 
-// countedTable counts the calls to the product's own table.
+// countedTable counts the calls to the entries' own table.
 type countedTable struct {
 	table.Service
 
 	count func(key string)
 }
 
-// countTableCall counts a call for a key of the product's own table.
+// countTableCall counts a call for a key of the entries' own table.
 func (n *Node) countTableCall(key string) {
 	if strings.HasPrefix(key, entryPrefix) {
-		n.calls.count(callEntries, causeStart)
+		n.calls.count(purposeEntries, causeStart)
 	} else {
-		n.calls.count(callLease, n.pollState().cause())
+		n.calls.count(purposeLease, n.pollState().cause())
 	}
 }
 
--- a/internal/fleet/node/confirm.go
+++ b/internal/fleet/node/confirm.go
@@ -25,8 +25,8 @@
 	// check, which has not begun yet, has ended.
 	began time.Time
 	next  chan struct{}
-	// storeChecked is when a check last called the store.
-	storeChecked time.Time
+	// storeCheckBegan is when the last check began that called the store first.
+	storeCheckBegan time.Time
 }
 
 // confirm ensures that the configuration in force here is at least as new as
@@ -64,17 +64,19 @@
 	c.mu.Lock()
 	c.began, c.next = time.Now(), nil
 
-	// All entries together call the store no more often than a few would.
-	store := c.began.Sub(c.storeChecked) >= scaleInterval(confirmInterval, n.entryCount())
-	if store {
-		c.storeChecked = c.began
+	// Checks start with the store only so often that all entries together do so
+	// no more often than fullRateEntries would. The others start with the
+	// holder and call the store only if it does not answer.
+	storeFirst := c.began.Sub(c.storeCheckBegan) >= scaleInterval(confirmInterval, n.aliveEntries())
+	if storeFirst {
+		c.storeCheckBegan = c.began
 	}
 	c.mu.Unlock()
 
 	ctx, cancel := context.WithTimeout(n.workCtx, confirmTimeout)
 	defer cancel()
 
-	if store {
+	if storeFirst {
 		_ = n.confirmWithStore(ctx) || n.confirmWithHolder(ctx) // Without an answer the configuration stays as it is.
 	} else {
 		_ = n.confirmWithHolder(ctx) || n.confirmWithStore(ctx)
--- a/internal/fleet/node/handler.go
+++ b/internal/fleet/node/handler.go
@@ -129,9 +129,9 @@
 	reportInterval = 400 * time.Millisecond
 	// reportDelay is how long a report waits for further requests.
 	reportDelay = 3 * time.Millisecond
-	// idleReportDelay is how long a report waits, for each entry that there is,
-	// when it only reports that a replica has become idle. All entries together
-	// make at most 200 such reports a second.
+	// idleReportDelay, times the number of alive entries, is how long a report
+	// waits when it only reports that a replica has become idle: all entries
+	// together make at most 200 such reports a second.
 	idleReportDelay = 5 * time.Millisecond
 )
 
@@ -149,7 +149,7 @@
 			return
 		case <-n.reportIdle:
 			if idle == nil {
-				idle = time.After(time.Duration(n.entryCount()) * idleReportDelay)
+				idle = time.After(time.Duration(n.aliveEntries()) * idleReportDelay)
 			}
 
 			continue
--- a/internal/fleet/node/homes.go
+++ b/internal/fleet/node/homes.go
@@ -16,9 +16,10 @@
 	// maxOwners is how many entries own limits: the death of one affects only a
 	// part of the teams.
 	maxOwners = 3
-	// maxFormerOwners is how many of the strongest entries are queried after a
-	// start whether the previous process had delegated shares to them: an owner
-	// is missing among them only if more than half of them were excluded.
+	// maxFormerOwners is how many of the strongest entries are asked after a
+	// start whether the previous process delegated shares to them. They include
+	// every former owner, unless more than half of these entries were excluded
+	// as owners.
 	maxFormerOwners = 8
 	// formerOwnersPeriod is how long after a start they are queried.
 	formerOwnersPeriod = 2 * time.Second
@@ -41,9 +42,9 @@
 	return out
 }
 
-// presentMembers returns the members that are known to run: those that are
-// alive, and shortly after a start, when few heartbeats have arrived, also
-// those that have answered.
+// presentMembers returns the members that are alive and, within
+// formerOwnersPeriod after a start, when few heartbeats have arrived, also
+// those without a heartbeat so far that have answered a query.
 func (q *quotas) presentMembers() []membership.Member {
 	out := q.node.peers.alive()
 
--- a/internal/fleet/node/lending.go
+++ b/internal/fleet/node/lending.go
@@ -18,14 +18,15 @@
 	// waits for.
 	delegationTimeout = 400 * time.Millisecond
 	// excludeAfter is the number of consecutive failed calls after which an
-	// entry is excluded as an owner, and excludeFor for how long, doubled each
-	// time up to eight times that: an entry that lost power stays on the list
-	// for long.
+	// entry is excluded as an owner; a refused connection excludes it at once.
+	// excludeFor is the length of the first exclusion, doubled each time up to
+	// eight times that, because an entry that lost power stays on the list for
+	// long.
 	excludeAfter        = 2
 	excludeFor          = 3 * time.Second
 	maxExcludeDoublings = 3
-	// roundSpacing delays a round that is requested immediately, which keeps
-	// such rounds apart.
+	// roundSpacing is the delay before a round that was requested through
+	// roundSoon; it keeps such rounds apart.
 	roundSpacing = 20 * time.Millisecond
 )
 
@@ -37,7 +38,7 @@
 			q.round(ctx)
 		}
 
-		t := time.NewTimer(jitter(quota.Interval(q.entryCount())))
+		t := time.NewTimer(jitter(quota.Interval(q.limitSharers())))
 
 		select {
 		case <-ctx.Done():
@@ -60,7 +61,7 @@
 
 	q.mu.Lock()
 	q.owners = owners
-	delegations := q.delegator.Delegations(owners, q.node.cfg.Self, q.entryCount(), clock.Now())
+	delegations := q.delegator.Delegations(owners, q.node.cfg.Self, q.limitSharers(), clock.Now())
 	refunds := q.refunds
 	q.refunds = nil
 	q.mu.Unlock()
@@ -126,8 +127,9 @@
 		signal(q.roundSoon)
 	}
 
-	// Where no process listens, any that starts there is newer than this
-	// process.
+	// A refused connection means that no process runs there. One that starts
+	// later is newer than this process and has no shares of its predecessor, so
+	// the entry counts as having none.
 	if err == nil || errors.Is(err, syscall.ECONNREFUSED) {
 		q.delegator.RecordDelegated(id, r.Held)
 	}
@@ -149,7 +151,8 @@
 	case r.Process != owner.Run:
 		q.ownerEnded(owner)
 
-		// The listed process has ended; gossip finds its successor.
+		// The listed process has ended; a gossip exchange fetches the process
+		// that replaced it.
 		go func() { _ = q.node.peers.gossip(ctx, owner.ID) }() // The next round detects a failure.
 	default:
 		delete(q.failures, owner.ID)
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -62,13 +62,14 @@
 	Protocol  relay.Protocol
 	// Strength is the share of a processor that this instance has.
 	Strength float64
-	// Entries is the number of entries assumed until the others are known.
+	// AssumedEntries is the number of entries assumed while no peer is alive,
+	// and the minimum number assumed to share the retry budget.
 	Entries   int
 	Allowance relay.RetryLimit
 	// Slack is how far requests may exceed their teams' limits.
 	Slack quota.Slack
-	// Grace is how long a graceful shutdown may take. TurnPause is the minimum
-	// time between the orders of two successive lease holders.
+	// GracePeriod is how long a graceful shutdown may take. TurnPause is the
+	// time within which orders of two holders must not alternate.
 	Grace, TurnPause time.Duration
 	Log              zerolog.Logger
 	// Dropped returns the number of log lines that were dropped; nil means
@@ -101,9 +102,10 @@
 	// metricsCloser stops the reporting of metrics.
 	metricsCloser io.Closer
 
-	routes   atomic.Pointer[route.Table]
-	listed   atomic.Bool
-	stopping atomic.Bool
+	routes atomic.Pointer[route.Table]
+	// listApplied reports that a list of targets has been applied.
+	listApplied atomic.Bool
+	stopping    atomic.Bool
 	// refreshList and refreshConfig request an immediate read of the store.
 	refreshList, refreshConfig chan struct{}
 	packedConfig               packedConfig
@@ -145,10 +147,10 @@
 	// configReadVersion is the store's version at which the configuration was
 	// last read.
 	configReadVersion uint64
-	// absences are the models that targets turned out not to hold.
+	// missing are the keys that targets reported that they do not hold.
 	// unreportedMissing are those of them, and the unreachable targets, that
 	// the next report sends to the holder.
-	absences          map[holder.Missing]absence
+	missing           map[holder.Missing]missingReport
 	unreportedMissing []holder.Missing
 	snapshotNumber    uint64
 	applied           appliedRouting
@@ -160,7 +162,7 @@
 		cfg: cfg, process: uuid.NewString(), started: time.Now(),
 		refreshList: make(chan struct{}, 1), refreshConfig: make(chan struct{}, 1), configAnnounced: make(chan struct{}, 1), listAnnounced: make(chan struct{}, 1),
 		routingChanged: make(chan struct{}, 1), reportSoon: make(chan struct{}, 1), reportIdle: make(chan struct{}, 1),
-		absences: make(map[holder.Missing]absence),
+		missing: make(map[holder.Missing]missingReport),
 	}
 	n.budgets.Limit = cfg.Allowance
 	n.budgets.Started = time.Now()
@@ -175,13 +177,13 @@
 	n.calls.metrics, n.traffic.metrics = n.metrics, n.metrics
 	n.cfg.Table = countedTable{cfg.Table, n.countTableCall}
 	n.dispatcher = dispatch.New(dispatch.Config{
-		Table: &n.routing, Entries: n.entryCount, CellOf: func(string) int { return 0 },
+		Table: &n.routing, Entries: n.aliveEntries, CellOf: func(string) int { return 0 },
 		Prerequisite: holder.ModelOf,
 		OnQueued:     func(string) { signal(n.reportSoon) }, OnReplicaIdle: func() { signal(n.reportIdle) }, OnNotice: n.broadcastNotice, MaxWaiting: maxWaiting,
 	})
 	n.relay = &relay.Server{
 		Protocol: cfg.Protocol, Dispatcher: n.dispatcher, Pool: &n.pool, Budgets: &n.budgets,
-		Table: n.routes.Load, RefreshTable: n.confirm, Limits: &n.quotas, OnModelAbsent: n.recordAbsent, OnAddressMoved: n.markMoved, OnUnreachable: n.recordUnreachable, Log: cfg.Log, Metrics: n.metrics,
+		Table: n.routes.Load, RefreshTable: n.confirm, Limits: &n.quotas, OnModelAbsent: n.recordMissing, OnAddressMoved: n.markMoved, OnUnreachable: n.recordUnreachable, Log: cfg.Log, Metrics: n.metrics,
 	}
 	n.holder = holder.New(holder.Config{
 		Self: cfg.Self, Strength: cfg.Strength, Process: n.process, Table: n.cfg.Table, Engines: cfg.Engines, Timing: leaseTiming, TurnPause: cfg.TurnPause,
@@ -284,8 +286,9 @@
 
 const (
 	// headerTimeout and idleTimeout bound how long a client may take to send a
-	// header and keep an idle connection. They exceed the operators' 3 s and 15
-	// s, because a connection must not be closed before its client gives it up.
+	// header and keep an idle connection. They exceed the 3 s and 15 s that the
+	// operators allow, because the entry must not close a connection before its
+	// client gives it up.
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 20 * time.Second
 	// maxHeader bounds a request's header; the operators allow 16 KB.
@@ -345,7 +348,8 @@
 
 	_ = front.Close()
 
-	// Both have had the whole grace period.
+	// The lease release and the announcement have run since the shutdown began;
+	// if they have not finished, they get at most this much longer.
 	waitTimeout(&leave, stopMargin/2) //nolint:mnd // See Run.
 }
 
@@ -372,7 +376,7 @@
 
 // ready reports whether clients may be sent to this entry.
 func (n *Node) ready() bool {
-	return n.routes.Load() != nil && n.listed.Load() && !n.stopping.Load()
+	return n.routes.Load() != nil && n.listApplied.Load() && !n.stopping.Load()
 }
 
 func (n *Node) config() *route.Config {
@@ -383,19 +387,21 @@
 	return nil
 }
 
-// entryCount returns how many entries share the targets.
-func (n *Node) entryCount() int {
-	if listed := len(n.peers.alive()) + 1; listed > 1 {
-		return listed
+// aliveEntries returns the number of alive entries, this one included, or the
+// configured assumption if no peer is alive.
+func (n *Node) aliveEntries() int {
+	if alive := len(n.peers.alive()) + 1; alive > 1 {
+		return alive
 	}
 
 	return n.cfg.Entries
 }
 
-// worstCaseEntries is the number of entries assumed to share limits, retries
-// and reads of the store until the others are known: the largest planned site
-// has 91, and after a power loss all of its entries start at once. The retries
-// that requests earn themselves do not depend on it.
+// worstCaseEntries is the number of entries assumed to share limits and reads
+// of the store until the entries' rows have been read, and the burst of the
+// retry budget while no peer is listed: the largest planned site has 91, and
+// after a power loss all of its entries start at once. The retries that the
+// budget credits in proportion to requests do not depend on it.
 const worstCaseEntries = 100
 
 // retrySharers returns how many entries may share the retry budget. It counts
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestAllRequestKinds checks that every entry answers every kind of request completely,
-// also for models and adapters that are loaded nowhere, and that each request
-// runs once.
+// TestAllRequestKinds checks that every entry answers every kind of request
+// completely, also for models and adapters that are loaded nowhere, and that
+// each request runs once.
 func TestAllRequestKinds(t *testing.T) {
 	t.Parallel()
 
@@ -264,8 +264,8 @@
 }
 
 // TestLostAnswers lets targets run requests and lose the answers. A booking
-// must run once, and its client gets no success that is not proved; a stream
-// that may be resumed is answered by another target.
+// must run once, and its client gets a success only if the booking is proved to
+// have run; a stream that may be resumed is answered by another target.
 func TestLostAnswers(t *testing.T) {
 	t.Parallel()
 
--- a/internal/fleet/node/pace.go
+++ b/internal/fleet/node/pace.go
@@ -6,18 +6,21 @@
 	"time"
 )
 
-// fullRateEntries is how many entries read the store as often as a single one
-// would. Where there are more, each reads so much less often that the total
-// rate stays the same, and receives changes from the others.
+// fullRateEntries is the largest number of entries at which each reads the
+// store at the interval of a single entry. Where there are more, each reads
+// less often, so that the total rate stays the same, and receives changes from
+// the others.
 const fullRateEntries = 8
 
-// scaleInterval returns the interval at which each of so many entries reads the
-// store, so that the total rate is that of fullRateEntries at an interval of d.
+// scaleInterval returns the interval at which each of the entries reads the
+// store: d for up to fullRateEntries, and a longer one for more, so that the
+// total rate does not grow.
 func scaleInterval(d time.Duration, entries int) time.Duration {
 	return d * time.Duration(max(fullRateEntries, entries)) / fullRateEntries
 }
 
-// pollState is what the time of an entry's next read of the store depends on.
+// pollState is the state of an entry that determines when it next reads the
+// store.
 type pollState struct {
 	// entries is the number of entries, this one included.
 	entries int
@@ -26,9 +29,9 @@
 	holding, led bool
 }
 
-// polling is the intervals between two reads of the store: of the lease holder,
-// of an entry to which the holder announces changes, and of an entry without
-// such a holder.
+// polling contains the intervals between two reads of the store: by the lease
+// holder, by an entry to which the holder announces changes, and by an entry
+// without such a holder.
 type polling struct {
 	holding, led, alone time.Duration
 	// longPoll reports that a read itself waits for changes, for about the
@@ -36,14 +39,15 @@
 	longPoll bool
 }
 
-// due reports whether an entry that last read the store so long ago reads
-// again. It is evaluated at each pollTick with a random draw from [0, 1).
+// due reports whether an entry whose last read of the store was waited ago must
+// read it again. It is evaluated at each pollTick, with a random number from
+// [0, 1).
 //
 // This limits the load when hundreds of entries lose their holder, or their
 // holder loses the store: otherwise each would read as often as a single one.
-// The draw prevents entries whose last read is long ago from reading all at
-// once.
-func (p polling) due(waited time.Duration, s pollState, draw float64) bool {
+// The random number prevents entries whose last read is long ago from reading
+// all at once.
+func (p polling) due(waited time.Duration, s pollState, random float64) bool {
 	switch {
 	case s.holding:
 		return p.longPoll || waited >= p.holding
@@ -52,7 +56,7 @@
 	case s.entries <= fullRateEntries:
 		return p.longPoll || waited >= p.alone
 	default:
-		return waited >= p.alone && draw < float64(pollTick)/float64(scaleInterval(p.alone, s.entries))
+		return waited >= p.alone && random < float64(pollTick)/float64(scaleInterval(p.alone, s.entries))
 	}
 }
 
@@ -64,8 +68,8 @@
 	return p
 }
 
-// pollState returns this entry's state for due. Until the entry has read the
-// list of members, it assumes many.
+// pollState returns this entry's state for due. Until the entries' rows have
+// been read, it assumes at least worstCaseEntries.
 func (n *Node) pollState() pollState {
 	entries := n.peers.listed() + 1
 	if !n.peers.scanned.Load() {
@@ -82,11 +86,12 @@
 }
 
 // recordHolderStoreAge records whether the holder's reads of the store succeed,
-// for an entry that reads too seldom to find out by itself.
+// for an entry that reads it too seldom to detect a failure by itself.
 //
-// It guards against the end of an outage: the list that the holder then
-// announces lacks targets whose rows expired meanwhile, and which an entry that
-// has recorded the outage retains for a while. The caller holds the lock.
+// It guards against a fault at the end of a store outage: the list that the
+// holder then announces lacks targets whose rows expired meanwhile, and only an
+// entry that has recorded the outage retains them for a while. The caller holds
+// the lock.
 func (n *Node) recordHolderStoreAge(age time.Duration, now time.Time) {
 	if n.peers.listed() < fullRateEntries {
 		return
--- a/internal/fleet/node/pace_test.go
+++ b/internal/fleet/node/pace_test.go
@@ -8,14 +8,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// countReads returns how often entries read the store in each second of span,
-// if the last read of each was up to ago before its beginning.
-func countReads(p polling, s pollState, ago, span time.Duration) []int {
+// countReads returns how many reads of the store the entries make in each
+// second of span. Each entry's last read was at a random time, at most maxAge
+// before the span began.
+func countReads(p polling, s pollState, maxAge, span time.Duration) []int {
 	r := rand.New(rand.NewPCG(1, 2))
 	out := make([]int, span/time.Second)
 
 	for range s.entries {
-		waited := time.Duration(r.Int64N(int64(ago)))
+		waited := time.Duration(r.Int64N(int64(maxAge)))
 
 		for at := time.Duration(0); at < span; at += pollTick {
 			if waited += pollTick; p.due(waited, s, r.Float64()) {
@@ -36,8 +37,8 @@
 	const span = 30 * time.Second
 
 	for name, tc := range map[string]struct {
-		s   pollState
-		ago time.Duration
+		s      pollState
+		maxAge time.Duration
 	}{
 		"led, 8":               {pollState{entries: 8, led: true}, 15 * time.Second},
 		"led, 195":             {pollState{entries: 195, led: true}, 300 * time.Second},
@@ -50,16 +51,16 @@
 			// The reads of a few entries without a holder in a second.
 			most := 2 * int(fullRateEntries*time.Second/targetsInterval)
 
-			for second, n := range countReads(targetsPolling, tc.s, tc.ago, span) {
+			for second, n := range countReads(targetsPolling, tc.s, tc.maxAge, span) {
 				assert.Assert(t, n <= most, "%d reads in second %d, at most %d", n, second, most)
 			}
 		})
 	}
 }
 
-// TestReadsWithoutHolder guards against entries that lost their holder and of
-// which none reads the store: one of them must read a change well within the 2
-// s in which it must be in force.
+// TestReadsWithoutHolder guards against a fault where entries without a holder
+// all leave the store unread: a change must be in force within 2 s, so one of
+// them must read it well before that.
 func TestReadsWithoutHolder(t *testing.T) {
 	for _, entries := range []int{1, 3, 8, 9, 20, 195, 1191} {
 		s := pollState{entries: entries}
--- a/internal/fleet/node/packed.go
+++ b/internal/fleet/node/packed.go
@@ -6,20 +6,20 @@
 	"github.com/fulmarcross/fulmarcross/internal/wire/frame"
 )
 
-// packedConfig is the compressed text of the configuration in force, compressed
-// once for all peers. The zero value has none.
+// packedConfig caches the compressed text of the configuration in force, so
+// that it is compressed once for all peers. The zero value is empty.
 //
 // This limits the load of a large configuration on small machines: the text of
-// thousands of routes takes long on a small machine's link, and a peer that
-// waits while it is being sent to others times out and asks again.
+// thousands of routes takes long on their links, and a peer that waits while it
+// is sent to others times out and asks again.
 type packedConfig struct {
 	mu      sync.Mutex
 	version uint64
 	data    []byte
 }
 
-// of returns the compressed text of a version.
-func (p *packedConfig) of(version uint64, text []byte) ([]byte, error) {
+// compressed returns the compressed text of a version.
+func (p *packedConfig) compressed(version uint64, text []byte) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
--- a/internal/fleet/node/packed_test.go
+++ b/internal/fleet/node/packed_test.go
@@ -14,14 +14,14 @@
 func TestPacked(t *testing.T) {
 	var p packedConfig
 
-	first, err := p.of(1, []byte("one"))
+	first, err := p.compressed(1, []byte("one"))
 	assert.NilError(t, err)
 
 	text, err := frame.Unpack(first)
 	assert.NilError(t, err)
 	assert.Equal(t, string(text), "one")
 
-	second, err := p.of(2, []byte("two"))
+	second, err := p.compressed(2, []byte("two"))
 	assert.NilError(t, err)
 
 	text, err = frame.Unpack(second)
--- a/internal/fleet/node/quotas.go
+++ b/internal/fleet/node/quotas.go
@@ -30,7 +30,8 @@
 // implements relay.Limiter.
 type quotas struct {
 	node *Node
-	// roundSoon requests an immediate round of delegations.
+	// roundSoon requests a round of delegations after roundSpacing, without
+	// waiting for the regular one.
 	roundSoon chan struct{}
 
 	mu        sync.Mutex
@@ -55,8 +56,9 @@
 
 func (q *quotas) uptime() quota.Uptime { return quota.Uptime(clock.Now().Sub(q.node.started)) }
 
-// entryCount returns how many entries share the limits.
-func (q *quotas) entryCount() int {
+// limitSharers returns how many entries may share the limits: all listed ones,
+// or worstCaseEntries until the entries' rows have been read.
+func (q *quotas) limitSharers() int {
 	if !q.node.peers.scanned.Load() {
 		return worstCaseEntries
 	}
@@ -120,8 +122,9 @@
 	return out, out.Coverage >= decisiveCoverage && !filling
 }
 
-// ownersToAsk returns the owners to ask about a group: first those that hold
-// this entry's own share, then those that should.
+// ownersToAsk returns the owners to ask about a group: first those to which
+// this entry's own share is delegated, then the other current owners. Excluded
+// owners are left out unless all are excluded.
 func (q *quotas) ownersToAsk(group int) []quota.Process {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -199,7 +202,7 @@
 
 // decide decides on a request as an owner.
 func (q *quotas) decide(d news.Drawing) news.Drawn {
-	c, entries := q.node.config(), q.entryCount()
+	c, entries := q.node.config(), q.limitSharers()
 	out := news.Drawn{Process: q.node.process, Released: q.node.stopping.Load()}
 
 	if out.Released || c == nil {
@@ -225,7 +228,7 @@
 
 // acceptDelegation accepts a delegation as an owner.
 func (q *quotas) acceptDelegation(l news.Lending) news.Receipt {
-	c, entries := q.node.config(), q.entryCount()
+	c, entries := q.node.config(), q.limitSharers()
 
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/fleet/node/routing.go
+++ b/internal/fleet/node/routing.go
@@ -21,12 +21,12 @@
 	// the list of targets: the holder sees its own loads seconds before the
 	// list does, but without a holder the list is the only source.
 	holderStateTTL = 4 * time.Second
-	// minAbsentPause is how long a target that reported a model as absent gets
-	// no requests for it, doubled each time up to maxAbsentPause.
-	minAbsentPause = 150 * time.Millisecond
-	maxAbsentPause = 1200 * time.Millisecond
-	// absentReset is how long after the last such pause the doubling is reset.
-	absentReset = 3 * time.Second
+	// minMissingPause is how long a target that reported a key as missing gets
+	// no requests for it, doubled each time up to maxMissingPause.
+	minMissingPause = 150 * time.Millisecond
+	maxMissingPause = 1200 * time.Millisecond
+	// missingReset is how long after the last such pause the doubling is reset.
+	missingReset = 3 * time.Second
 	// rebuildPauseFactor is the pause after a rebuild of the routing as a
 	// multiple of the time it took, so that rebuilds use at most a tenth of a
 	// core.
@@ -67,7 +67,7 @@
 	}
 
 	n.mu.Lock()
-	b := builder{applied: &n.applied, now: now, countID: 1 + uint64(n.holderReceived.Sub(n.started)/reportInterval), expires: now.Add(holderStateTTL), absences: n.absences, upcoming: make(map[string]time.Time), snapshot: router.Snapshot{Holder: n.cfg.Self, Token: 1}}
+	b := builder{applied: &n.applied, now: now, countID: 1 + uint64(n.holderReceived.Sub(n.started)/reportInterval), expires: now.Add(holderStateTTL), missing: n.missing, upcoming: make(map[string]time.Time), snapshot: router.Snapshot{Holder: n.cfg.Self, Token: 1}}
 	n.snapshotNumber++
 	b.snapshot.Number = n.snapshotNumber
 	b.snapshot.Targets = make([]router.TargetInfo, 0, len(n.targetsByID))
@@ -81,9 +81,9 @@
 		}
 	}
 
-	for key, a := range n.absences {
-		if now.Sub(a.until) > absentReset {
-			delete(n.absences, key)
+	for key, r := range n.missing {
+		if now.Sub(r.until) > missingReset {
+			delete(n.missing, key)
 		}
 	}
 
@@ -229,8 +229,8 @@
 	now     time.Time
 	// expires is when the snapshot becomes outdated without a change of its
 	// inputs.
-	expires  time.Time
-	absences map[holder.Missing]absence
+	expires time.Time
+	missing map[holder.Missing]missingReport
 	// countID distinguishes the holder's successive counts of running requests.
 	countID  uint64
 	snapshot router.Snapshot
@@ -282,8 +282,10 @@
 	b.applied.addChanges(&b.snapshot, t.ID, t.Address, b.keys)
 }
 
-// reportAge is set so that a detected death of a target stands until a newer
-// process is listed.
+// reportAge is the report age given for every target in a snapshot. It is above
+// zero, so that a death that the router detects stands until a newer process is
+// listed, or until a snapshot is built that is later by at least reportAge plus
+// the router's deathOverride.
 const reportAge = time.Second
 
 // residentModels returns the models on a target: from the holder's engine state
@@ -307,9 +309,9 @@
 
 // addReplica adds a key that is ready, or records when it will be.
 func (b *builder) addReplica(id instance.ID, key string, ready time.Time) {
-	if len(b.absences) > 0 {
-		if a, ok := b.absences[holder.Missing{Target: id, Key: key}]; ok {
-			ready = clock.Later(ready, a.until)
+	if len(b.missing) > 0 {
+		if r, ok := b.missing[holder.Missing{Target: id, Key: key}]; ok {
+			ready = clock.Later(ready, r.until)
 		}
 	}
 
@@ -328,11 +330,12 @@
 	b.keys = append(b.keys, key)
 }
 
-// addPredictions adds the loads that the holder predicts.
-func (b *builder) addPredictions(waits []holder.Prediction) {
-	for _, w := range waits {
-		if _, ok := b.upcoming[w.Key]; !ok && w.Ready.After(b.now) {
-			b.upcoming[w.Key] = w.Ready
+// addPredictions adds the loads that the holder predicts, for keys without an
+// upcoming replica.
+func (b *builder) addPredictions(predictions []holder.Prediction) {
+	for _, p := range predictions {
+		if _, ok := b.upcoming[p.Key]; !ok && p.Ready.After(b.now) {
+			b.upcoming[p.Key] = p.Ready
 		}
 	}
 }
@@ -345,26 +348,26 @@
 	}
 }
 
-// absence is a target's report that it does not hold a key.
-type absence struct {
+// missingReport is a target's report that it does not hold a key.
+type missingReport struct {
 	// until is when requests for the key may be sent to the target again, and
 	// pause the length of the last pause.
 	until time.Time
 	pause time.Duration
 }
 
-// recordAbsent records that a target does not hold a key.
-func (n *Node) recordAbsent(t *router.Target, key string) {
+// recordMissing records that a target does not hold a key.
+func (n *Node) recordMissing(t *router.Target, key string) {
 	m := holder.Missing{Target: t.ID, Key: key}
 
 	n.mu.Lock()
 
-	now, a := time.Now(), n.absences[m]
-	if now.After(a.until) {
+	now, r := time.Now(), n.missing[m]
+	if now.After(r.until) {
 		// Requests that were sent at the same time count once.
-		a.pause = min(max(minAbsentPause, 2*a.pause), maxAbsentPause)
-		a.until = now.Add(a.pause)
-		n.absences[m] = a
+		r.pause = min(max(minMissingPause, 2*r.pause), maxMissingPause)
+		r.until = now.Add(r.pause)
+		n.missing[m] = r
 	}
 
 	n.unreportedMissing = append(n.unreportedMissing, m)
--- a/internal/fleet/node/routing_test.go
+++ b/internal/fleet/node/routing_test.go
@@ -56,8 +56,8 @@
 }
 
 // BenchmarkRebuild rebuilds after one load on one of 152 engines, which happens
-// on each of 91 entries up to 45 times a second. Whole snapshots took 3.6 ms,
-// 3.0 MB and 24,600 allocations each; deltas take 0.7 ms, 0.4 MB and 1,700.
+// on each of 91 entries up to 45 times a second. A whole snapshot costs 3.6 ms,
+// 3.0 MB and 24,600 allocations; a delta costs 0.7 ms, 0.4 MB and 1,700.
 func BenchmarkRebuild(b *testing.B) {
 	n := nodeWithEngines(152)
 	n.rebuild(time.Now())
--- a/internal/fleet/node/teams_test.go
+++ b/internal/fleet/node/teams_test.go
@@ -25,8 +25,8 @@
 	return startWith(t, site.Options{Log: log, Teams: teams, Keys: keys})
 }
 
-// look sends one request, with a key unless it is empty.
-func look(t *testing.T, e *site.Entry, id, key string) site.Reply {
+// sendWithKey sends one request, with the key unless it is empty.
+func sendWithKey(t *testing.T, e *site.Entry, id, key string) site.Reply {
 	t.Helper()
 
 	a := relay.RequestInfo{ID: id, Timeout: 2 * time.Second}
@@ -70,10 +70,10 @@
 	s := startTeams(t, &log, []team.Team{{Name: "day"}, {Name: "night"}}, map[string][]string{"day": {"secret-day"}, "night": {"secret-night"}})
 
 	for i, e := range s.Entries {
-		assert.Equal(t, look(t, e, fmt.Sprint("day-", i), "secret-day").Status, http.StatusOK)
-		assert.Equal(t, look(t, e, fmt.Sprint("night-", i), "secret-night").Status, http.StatusOK)
-		assert.Equal(t, look(t, e, fmt.Sprint("none-", i), "").Status, http.StatusUnauthorized)
-		assert.Equal(t, look(t, e, fmt.Sprint("forged-", i), "secret-forged").Status, http.StatusUnauthorized)
+		assert.Equal(t, sendWithKey(t, e, fmt.Sprint("day-", i), "secret-day").Status, http.StatusOK)
+		assert.Equal(t, sendWithKey(t, e, fmt.Sprint("night-", i), "secret-night").Status, http.StatusOK)
+		assert.Equal(t, sendWithKey(t, e, fmt.Sprint("none-", i), "").Status, http.StatusUnauthorized)
+		assert.Equal(t, sendWithKey(t, e, fmt.Sprint("forged-", i), "secret-forged").Status, http.StatusUnauthorized)
 	}
 
 	for _, r := range s.Ran() {
@@ -97,7 +97,7 @@
 	for i := range 6 {
 		text := fmt.Sprint("key-", i)
 		assert.NilError(t, s.PutTeams([]team.Team{{Name: "day"}}, map[string][]string{"day": {"old", text}}))
-		assert.Equal(t, look(t, s.Entries[i%3], text, text).Status, http.StatusOK, "key %d", i)
+		assert.Equal(t, sendWithKey(t, s.Entries[i%3], text, text).Status, http.StatusOK, "key %d", i)
 	}
 }
 
@@ -109,7 +109,8 @@
 		bound  time.Duration
 	}{
 		"refused": {rows.Faults{Down: true}, 3 * time.Second},
-		// Three seconds, and as long again while the store fails.
+		// A change may take 3 s, and as long again while the store does not
+		// answer.
 		"silent": {rows.Faults{Silent: true}, 6 * time.Second},
 	}
 
@@ -125,9 +126,9 @@
 
 			for i, e := range s.Entries {
 				within(t, tc.bound-time.Since(withdrawn), "the key still works", func() bool {
-					return look(t, e, fmt.Sprint("old-", i), "old").Status == http.StatusUnauthorized
+					return sendWithKey(t, e, fmt.Sprint("old-", i), "old").Status == http.StatusUnauthorized
 				})
-				assert.Equal(t, look(t, e, fmt.Sprint("kept-", i), "kept").Status, http.StatusOK)
+				assert.Equal(t, sendWithKey(t, e, fmt.Sprint("kept-", i), "kept").Status, http.StatusOK)
 			}
 		})
 	}
@@ -149,7 +150,7 @@
 
 	// After this, all entries have delegated their shares and the burst is
 	// full.
-	within(t, 10*time.Second, "no limit was delegated", func() bool { return look(t, s.Entries[0], "a-first", "ka").Status == http.StatusOK })
+	within(t, 10*time.Second, "no limit was delegated", func() bool { return sendWithKey(t, s.Entries[0], "a-first", "ka").Status == http.StatusOK })
 	time.Sleep(2 * time.Second)
 
 	var (
@@ -161,7 +162,7 @@
 	for i := range 6 {
 		wg.Go(func() {
 			for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-				r := look(t, s.Entries[i%3], "a-x", "ka")
+				r := sendWithKey(t, s.Entries[i%3], "a-x", "ka")
 
 				mu.Lock()
 				got[r.Status]++
@@ -171,7 +172,7 @@
 					assert.Assert(t, r.Header.Get("Retry-After") != "")
 				}
 
-				assert.Equal(t, look(t, s.Entries[i%3], "b-x", "kb").Status, http.StatusOK)
+				assert.Equal(t, sendWithKey(t, s.Entries[i%3], "b-x", "kb").Status, http.StatusOK)
 			}
 		})
 	}
--- a/internal/fleet/node/view.go
+++ b/internal/fleet/node/view.go
@@ -41,7 +41,7 @@
 	n.apply(changes, v.Base == 0, now)
 	n.mu.Unlock()
 
-	n.listed.Store(true)
+	n.listApplied.Store(true)
 	n.cfg.Log.Info().Str("peer", string(from.ID)).Uint64("list", v.List).Uint64("base", v.Base).Int("targets", len(v.Targets)).Msg("targets learnt from a peer")
 	signal(n.routingChanged)
 	n.holder.Wake()
@@ -81,8 +81,8 @@
 	return out
 }
 
-// idHash returns the hash that represents a target's id where a view names a
-// whole list of them.
+// idHash returns the hash that stands for a target's id in View.Listed, which
+// contains all listed targets.
 func idHash(id instance.ID) uint64 { return xxhash.Sum64String(string(id)) }
 
 // removals records which targets were removed from the list at which versions,
@@ -93,8 +93,8 @@
 	removedAt map[instance.ID]uint64
 }
 
-// maxRemovals bounds the recorded removals: twice the 3,300 targets of the
-// largest size designed for.
+// maxRemovals is the number of recorded removals above which they are
+// discarded: twice the 3,300 targets of the largest planned site.
 const maxRemovals = 6600
 
 func (r *removals) record(changed []inventory.Change, whole bool, version uint64) {
@@ -116,7 +116,7 @@
 	var out news.View
 
 	if c := n.config(); c != nil && c.Version > have.Config {
-		data, err := n.packedConfig.of(c.Version, c.Text)
+		data, err := n.packedConfig.compressed(c.Version, c.Text)
 		if err != nil {
 			n.cfg.Log.Warn().Err(err).Uint64("version", c.Version).Msg("cannot compress configuration")
 		}
--- a/internal/fleet/node/view_test.go
+++ b/internal/fleet/node/view_test.go
@@ -122,9 +122,10 @@
 	assert.Equal(t, len(third.knownTargets()), 0)
 }
 
-// TestViewOmitsRetainedTarget lets an entry, after an outage of the store, retain for
-// a while a target whose row has expired. A peer that queries it meanwhile must
-// not treat that target as listed, or it keeps it until the list changes.
+// TestViewOmitsRetainedTarget lets an entry, after an outage of the store,
+// retain for a while a target whose row has expired. A peer that queries it
+// meanwhile must not treat that target as listed, or it keeps it until the list
+// changes.
 func TestViewOmitsRetainedTarget(t *testing.T) {
 	first, second := nodeWithoutStore("a"), nodeWithoutStore("b")
 	both := []inventory.Change{{ID: "t1", Target: inventory.Target{ID: "t1"}}, {ID: "t2", Target: inventory.Target{ID: "t2"}}}
--- a/internal/fleet/node/watch.go
+++ b/internal/fleet/node/watch.go
@@ -23,23 +23,26 @@
 	// after 2 s, and each read costs a call.
 	targetsInterval        = 600 * time.Millisecond
 	targetsIntervalHolding = 450 * time.Millisecond
-	// ledInterval is the time between two reads of an entry to which the holder
-	// announces changes.
+	// ledInterval is the time between two reads of the store by an entry to
+	// which the holder announces changes; scaleInterval lengthens it where
+	// there are many entries.
 	ledInterval = 15 * time.Second
-	// targetsReadDelay is the time before a read of the list that the holder
-	// has announced but does not provide: when a site starts, all targets
-	// register within seconds, and all entries would read the list after each.
+	// targetsReadDelay is the time before a read of the store when the holder
+	// has announced a newer list but the list cannot be fetched from it: when a
+	// site starts, all targets register within seconds, and all entries would
+	// read the list after each.
 	targetsReadDelay = 400 * time.Millisecond
 	// pollTick is how often an entry checks whether a read of the store is due.
 	pollTick = 200 * time.Millisecond
-	// maxHolderStoreAge is how long ago the holder may have last read the store
-	// for the other entries to rely on it: its reads are half a second apart
-	// and its announcements 0.4 s, and with a read of their own the others
-	// still notice a change within 2 s.
+	// maxHolderStoreAge is the age of the holder's last read of the store from
+	// which the other entries no longer rely on the holder. The holder reads
+	// every 0.5 s and announces every 0.4 s; if its reads fail, the others
+	// still notice a change by their own reads within 2 s.
 	maxHolderStoreAge = 1300 * time.Millisecond
-	// minBackoff is the time between two calls to a failing store, doubled each
-	// time up to maxBackoff: entries may take seconds to notice its return, and
-	// frequent calls of many entries cost more than they find out.
+	// minBackoff is the pause after the first failed call to the store, doubled
+	// after each further one up to maxBackoff. Entries may take seconds to
+	// detect that the store answers again, and frequent calls by many entries
+	// cost more than faster detection is worth.
 	minBackoff = 250 * time.Millisecond
 	maxBackoff = time.Second
 )
@@ -65,7 +68,7 @@
 
 		if err != nil {
 			after = resumeVersion(err, after)
-			n.backOff(ctx, &status, err, configPolling, n.refreshConfig, n.fetchConfig)
+			n.waitAfterFailure(ctx, &status, err, configPolling, n.refreshConfig, n.fetchConfig)
 
 			continue
 		}
@@ -87,10 +90,11 @@
 	}
 }
 
-// backOff waits after a failed call. Where there are many entries, it also
-// waits for the next regular read, as the other entries detect the store's
-// return.
-func (n *Node) backOff(ctx context.Context, status *storeStatus, err error, p polling, refresh <-chan struct{}, fetch func(context.Context) bool) {
+// waitAfterFailure waits after a failed call. Where there are many entries, it
+// also waits for the next regular read, as the other entries detect the store's
+// return; after lost history it does not, so that everything is read again
+// soon.
+func (n *Node) waitAfterFailure(ctx context.Context, status *storeStatus, err error, p polling, refresh <-chan struct{}, fetch func(context.Context) bool) {
 	_ = clock.Sleep(ctx, status.backoff()) // The caller's loop checks ctx.
 
 	var gone *inventory.HistoryGoneError
@@ -101,7 +105,7 @@
 
 func (n *Node) readConfig(ctx context.Context, after uint64) (*route.Config, uint64, error) {
 	s := n.pollState()
-	n.countRead(callConfig, s, after)
+	n.countRead(purposeConfig, s, after)
 
 	switch {
 	case after == 0:
@@ -118,9 +122,10 @@
 // led reports whether another entry holds the lease and reads the store, so
 // that it announces changes.
 //
-// It guards against a holder that the store does not answer while it answers
-// this entry: a change that was reported to the operators as in force would
-// stay unnoticed until the holder's calls had timed out.
+// It guards against a store that answers this entry but not the holder: this
+// entry would rely on the holder, and a change that was reported to the
+// operators as in force would stay unnoticed until the holder's calls had timed
+// out.
 func (n *Node) led() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -128,8 +133,8 @@
 	return n.holderState.Holder != n.cfg.Self && !n.holderReceived.IsZero() && n.holderState.StoreAge+time.Since(n.holderReceived) < maxHolderStoreAge
 }
 
-// fetchTargets fetches the newest list from the holder. It reports false when
-// the store must be read.
+// fetchTargets fetches the newest list from the holder. If that fails, it waits
+// for targetsReadDelay and reports false: the store must be read.
 func (n *Node) fetchTargets(ctx context.Context) bool {
 	if n.fetchListFromHolder(ctx) {
 		return true
@@ -180,7 +185,7 @@
 			n.recordStoreFailure(err)
 
 			after = resumeVersion(err, after)
-			n.backOff(ctx, &status, err, targetsPolling, n.refreshList, n.fetchTargets)
+			n.waitAfterFailure(ctx, &status, err, targetsPolling, n.refreshList, n.fetchTargets)
 
 			continue
 		}
@@ -211,7 +216,7 @@
 }
 
 func (n *Node) readTargets(ctx context.Context, after uint64) ([]inventory.Change, uint64, error) {
-	n.countRead(callTargets, n.pollState(), after)
+	n.countRead(purposeTargets, n.pollState(), after)
 
 	if after == 0 {
 		return n.cfg.Source.Targets(ctx)
@@ -252,7 +257,7 @@
 
 	n.apply(changes, whole, now)
 	n.mu.Unlock()
-	n.listed.Store(true)
+	n.listApplied.Store(true)
 
 	for _, c := range changes {
 		n.logChange(c)
