--- a/fetch_test.go
+++ b/fetch_test.go
@@ -13,8 +13,9 @@
 
 // fetch is the script command "fetch URL [BODY [HEADER=VALUE…]]". It sends a
 // GET request, or a POST request if BODY is given, and writes the response body
-// to the file answer. It fails if the status is 400 or above; negated, it fails
-// if the status is below 400.
+// to the file named "answer". The key is demo-key unless a HEADER replaces the
+// Authorization header. It fails if the status is 400 or above; negated, it
+// fails if the status is below 400.
 func fetch(ts *testscript.TestScript, neg bool, args []string) {
 	body, status, err := get(args)
 	ts.Check(err)
@@ -26,8 +27,9 @@
 }
 
 // await is the script command "await URL [BODY [HEADER=VALUE…]]". It sends the
-// request up to 300 times, with a pause of 50 ms after each attempt, until the
-// status is 200, and fails if it never is. Negation has no effect.
+// same request as fetch up to 300 times, with a pause of 50 ms after each
+// attempt, until the status is 200, and fails if it never is. Negation has no
+// effect.
 func await(ts *testscript.TestScript, _ bool, args []string) {
 	for range 300 {
 		if _, status, err := get(args); err == nil && status == http.StatusOK {
--- a/internal/platform/table/settle.go
+++ b/internal/platform/table/settle.go
@@ -25,11 +25,12 @@
 // leave a row that no instance accounts for. After each failed commit, Settle
 // reads the witness row: if it holds the witness's value, tx took effect.
 // Otherwise a conflict is returned, and any other error, or a failed read,
-// leads to another attempt. A second attempt cannot apply tx again, because
-// the first success changes the version of the witness row. The exception is a
-// condition that the row be absent: it holds again if another client deletes
-// the row between the attempts. If another client overwrites the witness row
-// before Settle reads it, Settle may return a conflict although tx took effect.
+// leads to another attempt. A second attempt does not apply tx again, because
+// the first success changes the version of the witness row, unless the condition
+// on that row requires that it be absent: if another client deletes the row
+// between the attempts, that condition holds again and tx can be applied twice.
+// If another client overwrites the witness row before Settle reads it, Settle
+// may return a conflict although tx took effect.
 //
 // If ctx ends first, Settle returns an *UnavailableError, and tx remains in
 // doubt: it may have taken effect or may still do so.
--- a/internal/platform/table/table.go
+++ b/internal/platform/table/table.go
@@ -13,7 +13,7 @@
 type Row struct {
 	Key   string
 	Value []byte
-	// Version grows with every write to the row and is never reused, not even
+	// Version increases with every write to the row and is never reused, not even
 	// after the row was deleted. Zero means that the row is absent.
 	Version uint64
 }
--- a/internal/room/board/board.go
+++ b/internal/room/board/board.go
@@ -1,6 +1,6 @@
-// Package board builds the numbered system state shown in the operations room.
-// One entry publishes it, and all entries serve the same bytes for a number.
-// The package does no I/O and reads no clock.
+// Package board builds the numbered system state shown on the screens that
+// everyone in the room sees. One entry publishes it, and all entries serve the
+// same bytes for a number. The package does no I/O and reads no clock.
 package board
 
 import (
@@ -36,8 +36,8 @@
 	Number    Number
 	At        time.Time
 	Publisher instance.ID
-	// ListVersion is the newest version of the lists in force on any known
-	// entry, and InForce counts the entries on which it is in force.
+	// ListVersion is the highest list version in force among the known
+	// entries, and InForce counts the entries on which that version is in force.
 	ListVersion uint64
 	InForce     int
 	Models      []Model
@@ -73,8 +73,8 @@
 	Answered     int64
 	Tokens       int64
 	Accelerators int
-	// IdleTargets counts the targets that have a model ready that the plan may
-	// use and neither run nor queue requests.
+	// IdleTargets counts the targets that neither run nor queue requests and on
+	// which at least one model that the plan may use is ready.
 	IdleTargets int
 	Refused     []Refused
 }
@@ -173,13 +173,13 @@
 	return out
 }
 
-// waitReason returns what the waiting requests of a model wait for. ready reports
-// whether the model is ready on a target.
-func waitReason(w router.Wait, ready bool) string {
+// waitReason returns what the waiting requests of a model wait for. loaded
+// reports whether the model is ready on a target.
+func waitReason(w router.Wait, loaded bool) string {
 	switch {
 	case w.Reason != "":
 		return w.Reason
-	case ready:
+	case loaded:
 		return "all slots are busy"
 	case w.Ready > 0:
 		return "loading, about " + w.Ready.Round(100*time.Millisecond).String()
@@ -211,7 +211,7 @@
 	var out []Plan
 
 	for _, p := range v.Lists.Plans() {
-		line := Plan{
+		boardPlan := Plan{
 			Name: p.Name, Customer: p.Customer, Concurrency: p.Concurrency, Accelerators: p.Accelerators,
 		}
 		refused := make(map[request.Code]int64)
@@ -219,41 +219,41 @@
 		for _, s := range v.Statuses {
 			for _, c := range s.Plans {
 				if c.Plan == p.Name {
-					addCounts(&line, c, refused)
+					addCounts(&boardPlan, c, refused)
 				}
 			}
 		}
 
 		for code, n := range refused {
-			line.Refused = append(line.Refused, Refused{Code: code, Count: n})
+			boardPlan.Refused = append(boardPlan.Refused, Refused{Code: code, Count: n})
 		}
 
-		slices.SortFunc(line.Refused, func(a, b Refused) int {
+		slices.SortFunc(boardPlan.Refused, func(a, b Refused) int {
 			return cmp.Or(-cmp.Compare(a.Count, b.Count), cmp.Compare(a.Code, b.Code))
 		})
 
-		line.IdleTargets = idleTargets(v, p.Name)
-		out = append(out, line)
+		boardPlan.IdleTargets = idleTargets(v, p.Name)
+		out = append(out, boardPlan)
 	}
 
 	return out
 }
 
-func addCounts(line *Plan, c peer.PlanCount, refused map[request.Code]int64) {
-	line.Running += c.Running
-	line.Waiting += c.Waiting
-	line.Answered += c.Answered
-	line.Tokens += c.Tokens
+func addCounts(boardPlan *Plan, c peer.PlanCount, refused map[request.Code]int64) {
+	boardPlan.Running += c.Running
+	boardPlan.Waiting += c.Waiting
+	boardPlan.Answered += c.Answered
+	boardPlan.Tokens += c.Tokens
 
 	for code, n := range c.Refused {
 		refused[code] += n
 	}
 }
 
-// idleTargets counts the targets that have a model ready that the plan may use
-// and neither run nor queue requests. Only allowances of kind plan.Model are
-// considered. Other plans may use the same model, so one target may count for
-// several plans.
+// idleTargets counts the targets that neither run nor queue requests and on
+// which at least one model that the plan may use is ready. Only allowances of
+// kind plan.Model are considered. Other plans may use the same model, so one
+// target may count for several plans.
 func idleTargets(v View, name string) int {
 	idle := make(map[instance.ID]bool)
 
@@ -322,8 +322,8 @@
 	}
 }
 
-// leavingPromise is reported as broken if a leaving target is still listed as
-// ready for a model.
+// leavingPromise returns the promise that leaving targets get no new work. It is
+// broken if a leaving target is still listed as ready for a model.
 func leavingPromise(b *Board) Promise {
 	p := Promise{Name: "leaving targets get no new work", Kept: true}
 
--- a/internal/room/logbook/cost_test.go
+++ b/internal/room/logbook/cost_test.go
@@ -8,8 +8,8 @@
 	"github.com/rs/zerolog"
 )
 
-// BenchmarkLine measures what logging one decision costs the request that logs
-// it.
+// BenchmarkLine measures the time that a request's goroutine spends on logging
+// one decision.
 func BenchmarkLine(b *testing.B) {
 	book := New(io.Discard)
 	defer book.Close()
--- a/internal/room/logbook/logbook.go
+++ b/internal/room/logbook/logbook.go
@@ -14,15 +14,15 @@
 	// queueSize is the capacity of the queue of unwritten lines. A line has
 	// about 300 bytes, so a full queue takes about 150 KiB.
 	queueSize = 512
-	// linesPerSecond limits the lines accepted in a window of one second. It
-	// allows three lines for each request at the highest request rate of an
-	// entry with 0.4 cores.
+	// linesPerSecond is the rate limit: in each window of one second, lines after
+	// the first linesPerSecond are dropped. It allows three lines for each
+	// request at the highest request rate of an entry with 0.4 cores.
 	linesPerSecond = 400
 )
 
 // Book is an io.Writer that never blocks on its output. Lines above the rate
-// limit and lines that find the queue full are dropped and counted. Create it
-// with New.
+// limit, and lines that arrive while the queue is full, are dropped and counted.
+// Create it with New.
 //
 // The queue decouples requests from a full pipe: if the reader of the output
 // stops, a direct write would block the request that logs.
@@ -38,8 +38,9 @@
 	windowLines int
 }
 
-// New returns a book that writes to w from its own goroutine, which ends after
-// Close.
+// New returns a book that writes to w from its own goroutine. After Close, the
+// goroutine ends when all queued lines are written; while a write to w blocks,
+// it remains, even if Close has returned.
 func New(w io.Writer) *Book {
 	b := &Book{lines: make(chan []byte, queueSize), done: make(chan struct{})}
 
@@ -82,14 +83,14 @@
 }
 
 // Dropped returns the number of lines dropped and of failed writes. Lines still
-// queued when Close gives up are not counted.
+// queued when Close times out are not counted.
 func (b *Book) Dropped() int64 { return b.dropped.Load() }
 
 // closeWait limits how long Close waits for the queued lines to be written.
 const closeWait = 200 * time.Millisecond
 
 // Close waits until the queued lines are written, for closeWait at most. It
-// must be called once only.
+// must be called only once.
 func (b *Book) Close() {
 	close(b.lines)
 
--- a/internal/room/logbook/logbook_test.go
+++ b/internal/room/logbook/logbook_test.go
@@ -12,8 +12,8 @@
 )
 
 // TestFullPipe checks that Write does not block while the reader of the output
-// has stopped and the pipe is full. The number of dropped lines is reported once
-// the pipe is read again.
+// has stopped and the pipe is full, and that the number of dropped lines is
+// reported after reading resumes.
 func TestFullPipe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, w := io.Pipe()
--- a/internal/room/metric/metric.go
+++ b/internal/room/metric/metric.go
@@ -24,8 +24,8 @@
 	buckets map[string]map[time.Duration]int64
 }
 
-// reportInterval is the scope's reporting interval, and so about the greatest age
-// of the values on the page.
+// reportInterval is the scope's reporting interval. Values on the page are at
+// most about this old.
 const reportInterval = time.Second
 
 // Scope returns a scope that reports to the page until it is closed.
@@ -124,7 +124,8 @@
 // Flush implements tally.StatsReporter.
 func (p *Page) Flush() {}
 
-// ServeHTTP writes all metrics, one a line, in sorted order.
+// ServeHTTP writes the lines of all metrics in sorted order: one for a counter
+// or gauge, several for a histogram.
 func (p *Page) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/room/screen/screen.go
+++ b/internal/room/screen/screen.go
@@ -1,5 +1,5 @@
-// Package screen serves the page shown on the screens of the operations room.
-// The page is one embedded file without a build step.
+// Package screen serves the page for the screens that everyone in the room
+// sees. The page is one embedded file without a build step.
 package screen
 
 import (
--- a/internal/room/timeline/clock.go
+++ b/internal/room/timeline/clock.go
@@ -15,9 +15,9 @@
 
 const counterBits = 16
 
-// Time returns the stamp's wall time in milliseconds. It is ahead of the local
-// clock if the Clock has observed a later stamp, or if more than 65,536 stamps
-// were issued in a millisecond.
+// Time returns the stamp's wall time, with a resolution of one millisecond. It
+// is ahead of the local clock if the Clock has observed a later stamp, or if
+// more than 65,536 stamps were issued in a millisecond.
 func (s Stamp) Time() time.Time { return time.UnixMilli(int64(s >> counterBits)) } //nolint:gosec // 48 bits.
 
 // Clock issues stamps. The zero value is ready for use.
--- a/internal/room/timeline/event.go
+++ b/internal/room/timeline/event.go
@@ -98,7 +98,8 @@
 }
 
 // Gaps returns the ranges of missing numbers between the lowest and the highest
-// number of each process. The events must be unfiltered.
+// number of each process. The events must be unfiltered, since an event that a
+// filter left out would count as missing.
 func Gaps(events []Event) []Gap {
 	type source struct {
 		id      instance.ID
--- a/internal/room/timeline/log.go
+++ b/internal/room/timeline/log.go
@@ -8,9 +8,10 @@
 )
 
 const (
-	// ringSize is the number of its own events that a process retains.
+	// ringSize is the number of events that a process retains of its own.
 	ringSize = 1 << 14
-	// copiesSize is the number of events of other processes that it retains.
+	// copiesSize is the number of events that a process retains of other
+	// processes.
 	copiesSize = 1 << 15
 )
 
@@ -87,8 +88,8 @@
 }
 
 // After returns at most limit own events numbered above n, oldest first.
-// Events that the ring has already overwritten are missing; Gaps reports them
-// to a receiver that has earlier events of the process.
+// Events that the ring has overwritten are missing from the result. A receiver
+// that has earlier events of the process can find the missing numbers with Gaps.
 func (l *Log) After(n uint64, limit int) []Event {
 	if l.number.Load() <= n {
 		return nil
--- a/internal/room/timeline/timeline_test.go
+++ b/internal/room/timeline/timeline_test.go
@@ -13,7 +13,7 @@
 
 // TestCauseBeforeEffect checks the merged order of events of two instances whose
 // clocks are ten minutes apart. One orders a load, the other confirms it, and
-// the first answers: the order must come first and the answer last.
+// the first answers the request: the order must come first and the answer last.
 func TestCauseBeforeEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := &Log{Instance: "a", Process: "pa"}, &Log{Instance: "b", Process: "pb"}
--- a/main_test.go
+++ b/main_test.go
@@ -37,8 +37,8 @@
 
 const module = "github.com/fulmarcross/fulmarcross/"
 
-// decisionPackages lists the packages that make decisions. They take their
-// inputs as values.
+// decisionPackages lists the packages that make decisions. They must do no I/O;
+// other packages do it and pass in the results.
 var decisionPackages = []string{
 	"customer/key", "customer/limit", "customer/plan", "customer/quota", "customer/team", "fleet/instance", "fleet/inventory", "fleet/membership", "placement/demand", "placement/history", "placement/lease", "placement/ledger",
 	"placement/replica", "placement/share", "placement/swap", "room/board", "serving/crash", "serving/queue", "serving/request",
@@ -50,7 +50,8 @@
 var ioPackages = []string{"net", "net/http", "net/rpc", "os", "os/exec", "database/sql", "io/ioutil", "syscall"}
 
 // TestDecisionsDoNoIO checks that no package in decisionPackages imports a
-// package that does I/O, directly or through other packages of this module.
+// package in ioPackages, a package below a wire directory or platform/table,
+// directly or through other packages of this module.
 // Imports of test files and of other modules' packages are not followed.
 func TestDecisionsDoNoIO(t *testing.T) {
 	for _, name := range decisionPackages {
