--- a/internal/serving/claim/claim.go
+++ b/internal/serving/claim/claim.go
@@ -102,9 +102,10 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// Acquire claims the key. After an error the request must not be sent: its claim
-// is unconfirmed, or the key was claimed already and the outcome of that claim
-// could not be read or the claim was withdrawn meanwhile (WithdrawnError).
+// Acquire claims the key. After an error the request must not be sent. Either its
+// own claim is unconfirmed, or the key was already claimed. In the second case the
+// other claim's outcome could not be read, or that claim was withdrawn meanwhile
+// (WithdrawnError).
 func (r *Registry) Acquire(ctx context.Context, key, digest string) (Outcome, error) {
 	row := record.Claim{
 		Digest:  digest,
--- a/internal/serving/dispatch/modelqueue.go
+++ b/internal/serving/dispatch/modelqueue.go
@@ -211,9 +211,9 @@
 	}
 
 	// Customers take turns, so a customer with few queued requests is served
-	// before the rest of longer queues. Let k be the number of requests of the
-	// new request's customer, including the new one. Therefore at most k
-	// requests for each customer with queued requests are assumed to start first.
+	// before the rest of longer queues. If the new request's customer has k
+	// requests, including the new one, at most k requests of each customer with
+	// queued requests are assumed to start first.
 	ahead := min(n, m.q.Customers()*(m.q.Waiting(it.Customer)+1))
 
 	return time.Now().Add(time.Duration(ahead) * m.startRate.gap).After(it.Deadline)
--- a/internal/serving/gateway/service.go
+++ b/internal/serving/gateway/service.go
@@ -198,7 +198,8 @@
 	g.refuse(s.clientRequest, request.Refuse(request.StoreDown, time.Second, "the claim cannot be written: "+err.Error()))
 }
 
-// inDoubt refuses a retry of a call whose outcome is unknown: it may have run.
+// inDoubt returns the refusal of a retry of a call whose outcome is unknown: it
+// may have run.
 func inDoubt(retryAfter time.Duration) *request.Refusal {
 	return &request.Refusal{
 		Code: request.InDoubt, Run: request.MayHaveRun, RetryAfter: retryAfter,
--- a/internal/serving/relay/client.go
+++ b/internal/serving/relay/client.go
@@ -23,8 +23,9 @@
 const closeCheckInterval = 200 * time.Millisecond
 
 // watchClose calls onClose when the client has closed its connection. The checks
-// end when stop is called or ctx ends. A check that is running while stop is
-// called schedules another unless ctx has ended, so a caller must end ctx too.
+// end when ctx ends. stop also ends them, unless a check is running while stop is
+// called: that check schedules another unless ctx has ended, so a caller must end
+// ctx too.
 //
 // While a request is handled, the HTTP server reads no further once it has
 // received bytes that follow the request, such as a pipelined request. It then
--- a/internal/serving/relay/server.go
+++ b/internal/serving/relay/server.go
@@ -80,8 +80,8 @@
 	RefusingUnstarted
 )
 
-// EnterPhase moves to phase p. From RefusingUnstartedStreams on, it also refuses
-// all queued requests at once: a stream that begins now could not end within the
+// EnterPhase moves to phase p. From RefusingUnstarted on, it also refuses all
+// queued requests at once: a stream that begins now could not end within the
 // grace time and would be cut off.
 func (s *Server) EnterPhase(p Phase) {
 	s.phase.Store(int32(p))
@@ -104,7 +104,8 @@
 // queued after it.
 const enqueueGrace = 100 * time.Millisecond
 
-// shutdownRefusal refuses a request because this entry is shutting down.
+// shutdownRefusal returns the refusal of a request because this entry is shutting
+// down.
 func shutdownRefusal() *request.Refusal {
 	return request.Refuse(request.ShuttingDown, otherEntryRetry, "this instance is stopping")
 }
@@ -339,7 +340,7 @@
 		Customer: d.customer(),
 		Model:    RoutingKey(d.service, model),
 		Prompt:   d.contentDigest(),
-		Priority: max(0, maxWeight-d.priority()),
+		Priority: max(0, maxPriority-d.priority()),
 		Deadline: d.queueDeadline(),
 		Arrived:  d.arrived,
 	}
@@ -392,9 +393,10 @@
 	return d.deadline
 }
 
-// maxWeight is the queue weight of a request with priority 0, the most urgent.
-// Each step of priority lowers the weight by one, but not below zero.
-const maxWeight = 9
+// maxPriority is the request.Request.Priority of a request whose route or team
+// has priority 0, the most urgent. Each step of the route's or team's priority
+// lowers it by one, but not below zero. The weight in the queue is one more.
+const maxPriority = 9
 
 // contentDigest returns a digest of the request's content. A client that sends
 // the same content again under another id gets the same digest.
--- a/internal/serving/router/choose.go
+++ b/internal/serving/router/choose.go
@@ -444,9 +444,11 @@
 	return t.reportedAt.Load() < d.at.Add(deathOverride).UnixNano()
 }
 
-// RecordSuccess records a complete answer, its time to first token and the load
-// under which its request was sent. Only complete answers count towards the
-// target's speed.
+// RecordSuccess records an answer's time to first token and the load on its
+// target, and ends the run of consecutive failures. Package dispatch calls it once
+// the answer is complete, with the load under which the request was sent. Package
+// relay calls it at a stream's first event, and for other answers once the body is
+// complete, with the load at that time.
 func (t *Target) RecordSuccess(firstToken time.Duration, load int) {
 	t.failures.Store(0)
 
