--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -59,8 +59,8 @@
 
 const (
 	// FullMeshLimit is the largest number of members at which an entry gossips with all
-	// of them in every round. Up to this size, contacting all members costs less than
-	// sending digests instead of whole lists saves.
+	// of them in every round. Up to this size, the cost of contacting all members is
+	// lower than the saving from sending digests instead of whole lists.
 	FullMeshLimit = 12
 	// fanOut is the number of members contacted in a round of a larger membership: a
 	// heartbeat then reaches 1,200 members in five rounds.
--- a/internal/fleet/node/confirm.go
+++ b/internal/fleet/node/confirm.go
@@ -64,9 +64,9 @@
 	c.mu.Lock()
 	c.began, c.next = time.Now(), nil
 
-	// Checks start with the store only so often that all entries together do so
-	// no more often than fullRateEntries would. The others start with the
-	// holder and call the store only if it does not answer.
+	// All entries together start no more checks with the store than
+	// fullRateEntries entries would at confirmInterval; all other checks start
+	// with the holder and call the store only if it does not answer.
 	storeFirst := c.began.Sub(c.storeCheckBegan) >= scaleInterval(confirmInterval, n.aliveEntries())
 	if storeFirst {
 		c.storeCheckBegan = c.began
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -127,8 +127,8 @@
 	listVersion uint64
 	// removals are the targets that were removed from the list.
 	removals removals
-	// usableVersion is the version of the list at the last change of which
-	// targets may be used.
+	// usableVersion is the version of the list at which the set of usable
+	// targets last changed.
 	usableVersion uint64
 	// configReadsFail and targetReadsFail report that the store does not
 	// answer.
@@ -397,11 +397,12 @@
 	return n.cfg.AssumedEntries
 }
 
-// worstCaseEntries is the number of entries assumed to share limits and reads
-// of the store until the entries' rows have been read, and the burst of the
-// retry budget while no peer is listed: the largest planned site has 91, and
-// after a power loss all of its entries start at once. The retries that the
-// budget credits in proportion to requests do not depend on it.
+// worstCaseEntries is the number of entries assumed, until the entries' rows
+// have been read, to share limits and reads of the store. While no peer is
+// listed, it is also the number assumed to share the burst of the retry budget.
+// The largest planned site has 91, and after a power loss all of its entries
+// start at once. The retries that the budget credits in proportion to requests
+// do not depend on it.
 const worstCaseEntries = 100
 
 // retrySharers returns how many entries may share the retry budget. It counts
--- a/internal/fleet/node/pace.go
+++ b/internal/fleet/node/pace.go
@@ -39,24 +39,24 @@
 	longPoll bool
 }
 
-// due reports whether an entry whose last read of the store was waited ago must
-// read it again. It is evaluated at each pollTick, with a random number from
+// due reports whether an entry must read the store again when its last read was
+// sinceRead ago. It is evaluated at each pollTick, with a random number from
 // [0, 1).
 //
 // This limits the load when hundreds of entries lose their holder, or their
 // holder loses the store: otherwise each would read as often as a single one.
 // The random number prevents entries whose last read is long ago from reading
 // all at once.
-func (p polling) due(waited time.Duration, s pollState, random float64) bool {
+func (p polling) due(sinceRead time.Duration, s pollState, random float64) bool {
 	switch {
 	case s.holding:
-		return p.longPoll || waited >= p.holding
+		return p.longPoll || sinceRead >= p.holding
 	case s.led:
-		return waited >= scaleInterval(p.led, s.entries)
+		return sinceRead >= scaleInterval(p.led, s.entries)
 	case s.entries <= fullRateEntries:
-		return p.longPoll || waited >= p.alone
+		return p.longPoll || sinceRead >= p.alone
 	default:
-		return waited >= p.alone && random < float64(pollTick)/float64(scaleInterval(p.alone, s.entries))
+		return sinceRead >= p.alone && random < float64(pollTick)/float64(scaleInterval(p.alone, s.entries))
 	}
 }
 
--- a/internal/fleet/node/peers.go
+++ b/internal/fleet/node/peers.go
@@ -300,8 +300,8 @@
 	return p.members.Self
 }
 
-// aliveOrNew returns the peers that are alive, or may be because they were
-// listed without a heartbeat so far.
+// aliveOrNew returns the peers that are alive, and those listed recently that
+// have not sent a heartbeat yet and so may be alive.
 func (p *peers) aliveOrNew() []membership.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fleet/node/quotas.go
+++ b/internal/fleet/node/quotas.go
@@ -73,14 +73,14 @@
 const (
 	// undecidedTimeout is how long a request waits for owners that can decide
 	// on most of its team's limit: after a restart of all entries, all shares
-	// are delegated within one quota.Term.
+	// are delegated within one quota.TTL.
 	undecidedTimeout = 800 * time.Millisecond
 	undecidedPause   = 40 * time.Millisecond
 )
 
-// Charge implements relay.Limiter. It refuses at once what exceeds the limit,
-// and waits briefly only where the owners do not have the state of the limit
-// yet.
+// Charge implements relay.Limiter. It refuses at once if owners of at least
+// decisiveCoverage of the limit refuse and none of their pools is still
+// filling; otherwise it retries for up to undecidedTimeout.
 func (q *quotas) Charge(ctx context.Context, t *team.Team, cost float64) relay.ChargeResult {
 	until := time.Now().Add(undecidedTimeout)
 
--- a/internal/fleet/node/routing.go
+++ b/internal/fleet/node/routing.go
@@ -18,8 +18,8 @@
 
 const (
 	// holderStateTTL is how long the holder's snapshot takes precedence over
-	// the list of targets: the holder sees its own loads seconds before the
-	// list does, but without a holder the list is the only source.
+	// the list of targets: the holder records its own loads seconds before they
+	// appear in the list, but without a holder the list is the only source.
 	holderStateTTL = 4 * time.Second
 	// minMissingPause is how long a target that reported a key as missing gets
 	// no requests for it, doubled each time up to maxMissingPause.
--- a/internal/fleet/node/watch.go
+++ b/internal/fleet/node/watch.go
@@ -91,9 +91,9 @@
 }
 
 // waitAfterFailure waits after a failed call. Where there are many entries, it
-// also waits for the next regular read, as the other entries detect the store's
-// return; after lost history it does not, so that everything is read again
-// soon.
+// also waits for the next regular read, because the other entries detect that
+// the store answers again. If the error is lost history, it skips that wait, so
+// that everything is read again soon.
 func (n *Node) waitAfterFailure(ctx context.Context, status *storeStatus, err error, p polling, refresh <-chan struct{}, fetch func(context.Context) bool) {
 	_ = clock.Sleep(ctx, status.backoff()) // The caller's loop checks ctx.
 
