--- a/internal/wire/engine/engine.go
+++ b/internal/wire/engine/engine.go
@@ -63,7 +63,7 @@
 	Role   string `json:"role,omitempty"`
 }
 
-// Held is a target.Held on the wire.
+// Held is a target.ResidentModel on the wire.
 type Held struct {
 	Model string `json:"model"`
 	Base  string `json:"base,omitempty"`
--- a/internal/wire/news/greeting.go
+++ b/internal/wire/news/greeting.go
@@ -20,14 +20,14 @@
 	Known  []MemberMessage
 }
 
-// PulseMessage is a roll.Pulse on the wire.
+// PulseMessage is a membership.ProcessHeartbeat on the wire.
 type PulseMessage struct {
 	_ struct{} `cbor:",toarray"`
 
 	Process, Beat uint64
 }
 
-// MemberMessage is a roll.Member on the wire.
+// MemberMessage is a membership.Member on the wire.
 type MemberMessage struct {
 	_ struct{} `cbor:",toarray"`
 
--- a/internal/wire/news/news.go
+++ b/internal/wire/news/news.go
@@ -179,14 +179,14 @@
 	Waits                       []WaitMessage
 }
 
-// EditionMessage is a holder.Edition on the wire.
+// EditionMessage is a holder.Version on the wire.
 type EditionMessage struct {
 	_ struct{} `cbor:",toarray"`
 
 	Token, Process, Number uint64
 }
 
-// CountMessage is a holder.Count on the wire.
+// CountMessage is a holder.EngineCounts on the wire.
 type CountMessage struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -194,7 +194,7 @@
 	Running, Lines int
 }
 
-// WaitMessage is a holder.Wait on the wire.
+// WaitMessage is a holder.Prediction on the wire.
 type WaitMessage struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -202,7 +202,7 @@
 	LeftMs int64
 }
 
-// StationMessage is a holder.Station on the wire.
+// StationMessage is a holder.EngineState on the wire.
 type StationMessage struct {
 	_ struct{} `cbor:",toarray"`
 
@@ -214,7 +214,7 @@
 	Held     []HeldMessage
 }
 
-// HeldMessage is a holder.Held on the wire. It says how long until the model is
+// HeldMessage is a holder.ResidentModel on the wire. It says how long until the model is
 // ready, so that no clocks are compared.
 type HeldMessage struct {
 	_ struct{} `cbor:",toarray"`
@@ -224,7 +224,7 @@
 	Adapters []AdapterMessage
 }
 
-// AdapterMessage is a holder.Adapter on the wire.
+// AdapterMessage is a holder.ResidentAdapter on the wire.
 type AdapterMessage struct {
 	_ struct{} `cbor:",toarray"`
 
--- a/internal/wire/news/view.go
+++ b/internal/wire/news/view.go
@@ -59,7 +59,7 @@
 	InMemory, OnDisk                 []string
 }
 
-// HeldOnList is an inventory.Held on the wire.
+// HeldOnList is an inventory.ResidentModel on the wire.
 type HeldOnList struct {
 	_ struct{} `cbor:",toarray"`
 
--- a/internal/wire/peer/messages.go
+++ b/internal/wire/peer/messages.go
@@ -296,7 +296,7 @@
 	return out
 }
 
-// Ask is a limit.Ask on the wire.
+// Ask is a limit.Request on the wire.
 type Ask struct {
 	_ struct{} `cbor:",toarray"`
 
